--- a/dykeshift/node/__main__.py
+++ b/dykeshift/node/__main__.py
@@ -22,8 +22,8 @@
 from dykeshift.node.server import Front
 from dykeshift.node.service_settings import ServiceSettings
 from dykeshift.node.settings_watch import SettingsWatch
-from dykeshift.node.shutdown import StopSignal, wind_down
-from dykeshift.node.startup import load_patiently, new_event_loop
+from dykeshift.node.shutdown import StopSignal, shut_down_gracefully
+from dykeshift.node.startup import load_config_with_retries, new_event_loop
 from dykeshift.node.upstream import Pool
 from dykeshift.rules import Balancer
 
@@ -31,86 +31,95 @@
 
 
 async def serve(
-    given: config.Config,
-    load: Callable[[], config.Config],
-    started: Callable[[Front, Listener, Reload], None] | None = None,
+    configuration: config.Config,
+    load_configuration: Callable[[], config.Config],
+    on_started: Callable[[Front, Listener, Reload], None] | None = None,
 ) -> None:
     loop = asyncio.get_running_loop()
-    pool = Pool(loop, given.connections, given.connect_timeout, given.keepalive)
-    driver = Driver(loop, Balancer(given.settings, given.seed), pool, lambda: discovery.watch())
+    pool = Pool(loop, configuration.connections, configuration.connect_timeout, configuration.keepalive)
+    driver = Driver(
+        loop, Balancer(configuration.settings, configuration.seed), pool, lambda: discovery.watch()
+    )
     discovery = Discovery(
         loop,
-        given.discovery,
-        ListReader(given.zones, given.kinds),
+        configuration.discovery,
+        ListReader(configuration.zones, configuration.kinds),
         driver.apply,
         driver.discovery_failed,
-        not given.settings.ask_discovery,
-        given.drain_grace,
+        not configuration.settings.ask_discovery,
+        configuration.drain_grace,
         lambda number: pool.listed.get(number),
     )
-    front = Front(loop, driver, requests.Reader(given.settings.classes, given.tenants), given.connections)
+    front = Front(
+        loop,
+        driver,
+        requests.Reader(configuration.settings.classes, configuration.tenants),
+        configuration.connections,
+    )
     stop = StopSignal(loop)
     loop.add_signal_handler(signal.SIGTERM, stop)
     loop.add_signal_handler(signal.SIGINT, stop)
-    reload = Reload(loop, load, discovery, driver)
+    reload = Reload(loop, load_configuration, discovery, driver)
     loop.add_signal_handler(signal.SIGHUP, reload)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])
     try:
-        listener = await Listener.open(loop, given.listen, front.connect)
-    except OSError as exc:
-        raise cannot_listen(given, exc) from None
+        listener = await Listener.open(loop, configuration.listen, front.connect)
+    except OSError as error:
+        raise listen_error(configuration, error) from None
     driver.start()
-    discovery.take_known(given.known)
-    watch = watch_settings(given, ServiceSettings(driver, discovery, front))
-    if not given.settings.ask_discovery:
+    discovery.take_known(configuration.known)
+    watch = start_settings_watch(configuration, ServiceSettings(driver, discovery, front))
+    if not configuration.settings.ask_discovery:
         discovery.watch()
         # What the agent has counts as told since before the program was loaded: the list known from
         # before serves only if the agent has nothing to say.
         await discovery.asked.wait()
     if watch is not None:
         await watch.wait_settled()
-    if stop.came_at is not None:  # the time until SIGKILL runs already, and nobody has been taken on
+    if stop.received_at is not None:  # the time until SIGKILL runs already, and nobody has been taken on
         log.info("stopped before it began to serve")
         return
     try:
-        await listener.serve()
-    except OSError as exc:
-        raise cannot_listen(given, exc) from None
+        await listener.start_accepting()
+    except OSError as error:
+        raise listen_error(configuration, error) from None
     gc.collect()
     gc.freeze()  # what lives as long as the program is not walked again by each collection
     gc.enable()
-    if started is not None:
-        started(front, listener, reload)
-    told_at = await stop.wait()
-    await wind_down(
-        front, listener, told_at, max((c.deadline for c in front.reader.classes), default=0) / 1e9
+    if on_started is not None:
+        on_started(front, listener, reload)
+    signalled_at = await stop.wait()
+    await shut_down_gracefully(
+        front, listener, signalled_at, max((c.deadline for c in front.reader.classes), default=0) / 1e9
     )
 
 
-def cannot_listen(given: config.Config, error: OSError) -> config.ConfigError:
+def listen_error(configuration: config.Config, error: OSError) -> config.ConfigError:
     """The one line that ends a start whose clients could not reach it."""
-    host, port = given.listen
+    host, port = configuration.listen
     return config.ConfigError(f"cannot listen on {host}:{port}: {error}")
 
 
-def watch_settings(given: config.Config, service: ServiceSettings) -> SettingsWatch[config.Config] | None:
+def start_settings_watch(
+    configuration: config.Config, service: ServiceSettings
+) -> SettingsWatch[config.Config] | None:
     """The watch on the settings, begun, where the configuration names an agent for it."""
-    if given.control is None:
+    if configuration.control is None:
         return None
-    base: dict[str, Any] = given.raw["settings"]
-    parse = partial(config.with_settings, given)
-    control = SettingsControl(base, given.settings_version, parse, given.seed)
-    return SettingsWatch(asyncio.get_running_loop(), given.control, control, service.put_in_force)
+    base: dict[str, Any] = configuration.raw["settings"]
+    parse = partial(config.with_settings, configuration)
+    control = SettingsControl(base, configuration.settings_version, parse, configuration.seed)
+    return SettingsWatch(asyncio.get_running_loop(), configuration.control, control, service.put_in_force)
 
 
 def run(path: str) -> None:
     """Serve by this file until told to end; ConfigError or OSError if it cannot start."""
     # It would end the program; one that comes before there is a handler waits until there is.
     signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP])
-    given = load_patiently(path)
+    configuration = load_config_with_retries(path)
     reload = partial(config.load, path, with_known=False)  # the list held is newer
     with asyncio.Runner(loop_factory=new_event_loop) as runner:
-        runner.run(serve(given, reload))
+        runner.run(serve(configuration, reload))
 
 
 def main() -> int:
@@ -123,8 +132,8 @@
         if not path:
             raise config.ConfigError("NODE_CONFIG is not set; it names the configuration file")
         run(path)
-    except (config.ConfigError, OSError) as exc:
-        print(f"balancer: {exc}", file=sys.stderr)
+    except (config.ConfigError, OSError) as error:
+        print(f"balancer: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/dykeshift/node/config.py
+++ b/dykeshift/node/config.py
@@ -11,7 +11,7 @@
 from dykeshift.node.address import Address, read_address
 from dykeshift.node.json_cursor import JsonCursor
 from dykeshift.node.listing import Listing, Row, read_rows
-from dykeshift.node.passing_errors import may_pass
+from dykeshift.node.passing_errors import is_transient
 from dykeshift.node.tenants import TenantTable
 from dykeshift.settings import Malformed, SettingsError, need, parse_settings
 
@@ -73,7 +73,7 @@
         with open(path, encoding="utf-8") as file:
             text = file.read()
     except OSError as exc:
-        kind = UnreadableError if may_pass(exc) else ConfigError
+        kind = UnreadableError if is_transient(exc) else ConfigError
         raise kind(f"cannot read the configuration {path!r}: {exc}") from None
     except ValueError as exc:
         raise ConfigError(f"cannot read the configuration {path!r}: {exc}") from None
--- a/dykeshift/node/listing.py
+++ b/dykeshift/node/listing.py
@@ -16,7 +16,7 @@
 from dykeshift.interface import ServerEntry, ServerState
 from dykeshift.node.address import read_address
 from dykeshift.node.json_cursor import JsonCursor
-from dykeshift.node.start_clock import StartClock
+from dykeshift.node.start_clock import StartTimeConverter
 
 ROWS_PER_TURN = 100  # rows read between two turns of the event loop: one to two milliseconds of work
 _STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
@@ -153,7 +153,7 @@
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
         self.zones = {name: n for n, name in enumerate(zones)}
         self.kinds = {name: n for n, name in enumerate(kinds)}
-        self.start_clock = StartClock()
+        self.start_clock = StartTimeConverter()
 
     def convert(self, row: Row) -> Listed:
         entry = ServerEntry(
@@ -163,7 +163,7 @@
             kind=self.kinds.get(row.kind, -1),
             state=row.state,
             weight=row.weight,
-            started=self.start_clock.started(row.started_ms),
+            started=self.start_clock.monotonic_start_ns(row.started_ms),
         )
         return Listed(entry, row.address)
 
@@ -190,7 +190,7 @@
                 next(steps)
             except StopIteration as stop:
                 cursor.end()
-                self.start_clock.list_read()
+                self.start_clock.note_list_read()
                 listing: Listing[Listed] = stop.value
                 return listing
             if time.monotonic() < turns_until:
--- a/dykeshift/node/passing_errors.py
+++ b/dykeshift/node/passing_errors.py
@@ -4,11 +4,11 @@
 
 import errno
 
-START_PATIENCE = 5.0  # seconds for which a start tries again what may pass; it has to be ready within 10
-START_PAUSE = 0.05  # seconds between two such tries
+START_RETRY_TIMEOUT_S = 5.0  # a start has to be ready within 10 s
+START_RETRY_INTERVAL_S = 0.05  # seconds between two such tries
 
 # Shortages of the process or the machine, and addresses or devices that are not free for a moment.
-PASSING_ERRORS = frozenset(
+TRANSIENT_ERRORS = frozenset(
     {
         errno.EADDRINUSE,
         errno.EADDRNOTAVAIL,
@@ -23,6 +23,6 @@
 )
 
 
-def may_pass(error: OSError) -> bool:
+def is_transient(error: OSError) -> bool:
     """Whether the same call may do a moment later."""
-    return error.errno in PASSING_ERRORS
+    return error.errno in TRANSIENT_ERRORS
--- a/dykeshift/node/server.py
+++ b/dykeshift/node/server.py
@@ -10,7 +10,7 @@
 
 from dykeshift.node.driver import FAILED, Driver, Reply
 from dykeshift.node.http1 import Gatherer, Unacceptable, has_ended, has_input, status_of
-from dykeshift.node.loop_watch import LoopWatch
+from dykeshift.node.loop_watch import StallDetector
 from dykeshift.node.requests import BadRequest, Reader
 
 log = logging.getLogger(__name__)
@@ -66,7 +66,7 @@
         self.stopping = self.closing = False  # no longer ready; letting go of the clients
         self.ended = False  # nothing is begun any more
         self.sweeper = loop.call_later(SWEEP, self.sweep)
-        self.loop_watch = LoopWatch(loop)
+        self.loop_watch = StallDetector(loop)
 
     def connect(self) -> Client:
         return Client(self)
--- a/dykeshift/node/shutdown.py
+++ b/dykeshift/node/shutdown.py
@@ -12,16 +12,16 @@
 log = logging.getLogger(__name__)
 
 # All times in seconds.
-ARRIVALS = 0.6  # after SIGTERM, in which new connections still come
-KILL_DELAY = 0.7  # from the longest deadline to the earliest SIGKILL
-LONGEST_COUNTED = 3.0  # a longer deadline counts for so much
-HOLD = 0.15  # that the process may get no processor time for, at any moment
+ACCEPT_AFTER_SIGTERM_S = 0.6  # after SIGTERM, in which new connections still come
+SIGKILL_AFTER_DEADLINE_S = 0.7  # from the longest deadline to the earliest SIGKILL
+MAX_COUNTED_DEADLINE_S = 3.0  # a longer deadline counts for so much
+MAX_STALL_S = 0.15  # that the process may get no processor time for, at any moment
 # Before SIGKILL, by which all is answered: the process may be held up once before it comes to SIGTERM and
 # once more before its last answers are written, and these take some time when many requests end at once.
-MARGIN = 2 * HOLD + 0.05
-CLOSING = 0.3  # before the end of service, in which no client is kept any more
-LEAVING = 0.15  # after the end of service, in which clients may still read and close; then the process ends
-TICK = 0.02  # between two looks whether all is answered
+SIGKILL_MARGIN_S = 2 * MAX_STALL_S + 0.05
+CLOSING_PHASE_S = 0.3  # before the end of service, in which no client is kept any more
+CLIENT_CLOSE_WAIT_S = 0.15  # after the end of service, for clients to read and close
+POLL_INTERVAL_S = 0.02  # between two looks whether all is answered
 
 
 class StopSignal:
@@ -29,23 +29,25 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
-        self._came = asyncio.Event()
-        self.came_at: float | None = None  # by the loop's clock, in seconds
+        self._received = asyncio.Event()
+        self.received_at: float | None = None  # by the loop's clock, in seconds
 
     def __call__(self) -> None:
         """Handle the signal."""
-        if self.came_at is None:
-            self.came_at = self._loop.time()
-            self._came.set()
+        if self.received_at is None:
+            self.received_at = self._loop.time()
+            self._received.set()
 
     async def wait(self) -> float:
         """Wait for the signal; when it came, by the loop's clock."""
-        await self._came.wait()
-        assert self.came_at is not None
-        return self.came_at
+        await self._received.wait()
+        assert self.received_at is not None
+        return self.received_at
 
 
-async def wind_down(front: Front, listener: Listener, told_at: float, longest: float) -> None:
+async def shut_down_gracefully(
+    front: Front, listener: Listener, signalled_at: float, longest_deadline: float
+) -> None:
     """Let go of the clients: none is turned away while some may still come, all taken are answered.
 
     Those connected are served for as long as there is time: let go at once, they found nobody where the
@@ -53,20 +55,27 @@
     in seconds.
     """
     loop = asyncio.get_running_loop()
-    end = told_at + min(longest, LONGEST_COUNTED) + KILL_DELAY - MARGIN
+    end = (
+        signalled_at
+        + min(longest_deadline, MAX_COUNTED_DEADLINE_S)
+        + SIGKILL_AFTER_DEADLINE_S
+        - SIGKILL_MARGIN_S
+    )
     front.stopping = True
     front.driver.stop_by(time.monotonic_ns() + int((end - loop.time()) * 1e9))
     jobs = front.driver.jobs
     log.info("stopping: %d clients are connected, %d requests open", len(front.clients), len(jobs))
-    while loop.time() < min(told_at + ARRIVALS, end) or (front.clients and loop.time() < end - CLOSING):
-        await asyncio.sleep(TICK)
+    while loop.time() < min(signalled_at + ACCEPT_AFTER_SIGTERM_S, end) or (
+        front.clients and loop.time() < end - CLOSING_PHASE_S
+    ):
+        await asyncio.sleep(POLL_INTERVAL_S)
     front.closing = True
-    while listener.has_waiting() and loop.time() < end:
+    while listener.has_pending_connections() and loop.time() < end:
         await asyncio.sleep(0)  # closed now, it would reset those who wait to be accepted
     await listener.close()
     await close_idle_until(front, end)
     front.refuse_unfinished()
-    await close_idle_until(front, end + LEAVING)
+    await close_idle_until(front, end + CLIENT_CLOSE_WAIT_S)
     log.info(
         "stopped: %d clients are left, %d requests open",
         sum(not client.lingers() for client in front.clients),
@@ -74,9 +83,9 @@
     )
 
 
-async def close_idle_until(front: Front, moment: float) -> None:
+async def close_idle_until(front: Front, deadline: float) -> None:
     """Close connections as they come to rest, until none is left or that time of the loop has come."""
     loop = asyncio.get_running_loop()
-    while front.clients and loop.time() < moment:
+    while front.clients and loop.time() < deadline:
         front.close_idle()
-        await asyncio.sleep(TICK)
+        await asyncio.sleep(POLL_INTERVAL_S)
--- a/dykeshift/node/startup.py
+++ b/dykeshift/node/startup.py
@@ -10,28 +10,28 @@
 import uvloop
 
 from dykeshift.node import config
-from dykeshift.node.passing_errors import START_PATIENCE, START_PAUSE, may_pass
+from dykeshift.node.passing_errors import START_RETRY_INTERVAL_S, START_RETRY_TIMEOUT_S, is_transient
 
 Result = TypeVar("Result")
 
 
-def load_patiently(path: str) -> config.Config:
+def load_config_with_retries(path: str) -> config.Config:
     """The configuration from its file, which may be unreadable for a moment; ConfigError if it stays so."""
-    return _patiently(lambda: config.load(path), lambda error: isinstance(error, config.UnreadableError))
+    return _retry(lambda: config.load(path), lambda error: isinstance(error, config.UnreadableError))
 
 
 def new_event_loop() -> asyncio.AbstractEventLoop:
     """An event loop, whose descriptors may be refused for a moment; OSError if they stay so."""
-    return _patiently(uvloop.new_event_loop, lambda error: isinstance(error, OSError) and may_pass(error))
+    return _retry(uvloop.new_event_loop, lambda error: isinstance(error, OSError) and is_transient(error))
 
 
-def _patiently(call: Callable[[], Result], passes: Callable[[Exception], bool]) -> Result:
+def _retry(call: Callable[[], Result], passes: Callable[[Exception], bool]) -> Result:
     """Call until it does, for START_PATIENCE at the most while its failures may pass."""
-    patience_ends = time.monotonic() + START_PATIENCE
+    patience_ends = time.monotonic() + START_RETRY_TIMEOUT_S
     while True:
         try:
             return call()
         except Exception as error:
             if not passes(error) or time.monotonic() >= patience_ends:
                 raise
-        time.sleep(START_PAUSE)
+        time.sleep(START_RETRY_INTERVAL_S)
--- a/tests/node/test_end_of_service.py
+++ b/tests/node/test_end_of_service.py
@@ -36,7 +36,7 @@
     silent,
     until,
 )
-from tests.node.test_program import COMMAND, ROOT, call, program
+from tests.node.test_program import COMMAND, ROOT, balancer_process, connect
 
 LONGEST_DEADLINE = 0.8  # seconds, of all classes: SIGKILL may come 0.7 s later than this after SIGTERM
 KILL_AFTER = LONGEST_DEADLINE + 0.7  # seconds after SIGTERM
@@ -79,8 +79,8 @@
     async def main() -> None:
         loop = asyncio.get_running_loop()
         stub = await Stub(silent).start()
-        async with program(stub, tmp_path, longest_deadline=LONGEST_DEADLINE) as (process, port):
-            callers = [await call(port) for _ in range(8)]
+        async with balancer_process(stub, tmp_path, longest_deadline=LONGEST_DEADLINE) as (process, port):
+            callers = [await connect(port) for _ in range(8)]
             if held_at_signal:
                 process.send_signal(signal.SIGSTOP)
             process.send_signal(signal.SIGTERM)
@@ -106,8 +106,8 @@
     async def main() -> None:
         loop = asyncio.get_running_loop()
         stub = await Stub(silent).start()
-        async with program(stub, tmp_path, longest_deadline=LONGEST_DEADLINE) as (process, port):
-            caller = await call(port)
+        async with balancer_process(stub, tmp_path, longest_deadline=LONGEST_DEADLINE) as (process, port):
+            caller = await connect(port)
             process.send_signal(signal.SIGTERM)
             told = loop.time()
             await sleep_until(told + SENT_AFTER)
@@ -139,7 +139,7 @@
             connections = 0
             while process.returncode is None:
                 with suppress(ConnectionError):
-                    (await call(port)).writer.close()
+                    (await connect(port)).writer.close()
                     connections += 1
                 await asyncio.sleep(0.01)
             assert (process.returncode, connections) == (0, 0)
--- a/tests/node/test_failing_calls.py
+++ b/tests/node/test_failing_calls.py
@@ -19,7 +19,7 @@
 from dykeshift.node.config import Config
 from emulator.faults.shim import PASSING_ERRORS, Call, Faults, Rule, build_shim, failing
 from tests.node.stubs import Registry, Stub, answer, node, request, run, says, until
-from tests.node.test_program import COMMAND, ROOT, broken, call, program
+from tests.node.test_program import COMMAND, ROOT, balancer_process, config_text, connect
 
 READY_WITHIN = 10.0  # seconds
 PASSING = [
@@ -47,8 +47,8 @@
         stub = await Stub(says(answer())).start()
         environment = faults(Rule(failed, failing(error), most=3))
         async with asyncio.timeout(READY_WITHIN):
-            async with program(stub, tmp_path, environment=environment) as (_, port):
-                caller = await call(port)
+            async with balancer_process(stub, tmp_path, environment=environment) as (_, port):
+                caller = await connect(port)
                 assert "200" in (await caller.ask(request("check"))).start
                 caller.writer.close()
 
@@ -66,12 +66,12 @@
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         environment = faults(Rule(Call.ACCEPT, failing(error), share=0.5))
-        async with program(stub, tmp_path, environment=environment, stderr=subprocess.PIPE) as (
+        async with balancer_process(stub, tmp_path, environment=environment, stderr=subprocess.PIPE) as (
             process,
             port,
         ):
             for number in range(30):
-                caller = await call(port)
+                caller = await connect(port)
                 assert "200" in (await caller.ask(request("check", rid=f"r{number}"))).start
                 caller.writer.close()
             process.terminate()
@@ -86,7 +86,7 @@
 
 def test_a_start_that_cannot_listen_ends_with_one_line(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps({**json.loads(broken()), "listen": "127.0.0.1:0"}))
+    path.write_text(json.dumps({**json.loads(config_text()), "listen": "127.0.0.1:0"}))
     environment = faults(Rule(Call.SOCKET, failing(errno.EACCES)))
     done = subprocess.run(
         COMMAND,
--- a/tests/node/test_held_up.py
+++ b/tests/node/test_held_up.py
@@ -25,7 +25,7 @@
 from dykeshift.node.connection import Connection
 from dykeshift.node.upstream import Attempt
 from tests.node.stubs import Caller, Stub, answer, node, read_message, request, run, says, silent
-from tests.node.test_program import call, program
+from tests.node.test_program import balancer_process, connect
 from tests.node.test_standing_terms import Visitor, all_quiet, received, warm
 
 Number = TypeVar("Number", int, float)
@@ -108,14 +108,14 @@
 
     async def main() -> None:
         stub = await Stub(silent).start()
-        async with program(stub, tmp_path) as (process, port):
-            caller = await call(port)
+        async with balancer_process(stub, tmp_path) as (process, port):
+            caller = await connect(port)
             assert "200" in (await caller.ask(b"GET /ready HTTP/1.1\r\nHost: b\r\n\r\n")).start
             process.send_signal(signal.SIGSTOP)
             await asyncio.sleep(0.005)  # it may take a moment to stop
             if new:  # taken by the system: it waits to be accepted
                 caller.writer.close()
-                caller = await call(port)
+                caller = await connect(port)
             caller.writer.write(request(klass, deadline=PATIENCE_MS))
             sent = time.monotonic()
             await asyncio.sleep(LONG_HOLD)
@@ -139,8 +139,8 @@
 
     async def main() -> None:
         stub = await Stub(silent).start()
-        async with program(stub, tmp_path) as (process, port):
-            caller = await call(port)
+        async with balancer_process(stub, tmp_path) as (process, port):
+            caller = await connect(port)
             caller.writer.write(request("check", deadline=PATIENCE_MS))
             sent = time.monotonic()
             answered = asyncio.create_task(answered_at(caller))
--- a/tests/node/test_program.py
+++ b/tests/node/test_program.py
@@ -39,7 +39,7 @@
 COMMAND = [sys.executable, "-m", "dykeshift.node"]
 
 
-def broken(**changes: Any) -> str:
+def config_text(**changes: Any) -> str:
     return json.dumps({**configuration(("127.0.0.1", 9)), **changes})
 
 
@@ -52,14 +52,14 @@
         "[]",
         "5",
         "{}",
-        broken(listen="nowhere"),
-        broken(listen="127.0.0.1:99999"),
-        broken(settings={}),
-        broken(settings=None),
-        broken(settings=5),
-        broken(limits=5),
-        broken(limits={"sockets": "many"}),
-        broken(discovery=None),
+        config_text(listen="nowhere"),
+        config_text(listen="127.0.0.1:99999"),
+        config_text(settings={}),
+        config_text(settings=None),
+        config_text(settings=5),
+        config_text(limits=5),
+        config_text(limits={"sockets": "many"}),
+        config_text(discovery=None),
     ],
 )
 def test_bad_configuration_is_one_line_and_exit_2(text: str | None, tmp_path: Path) -> None:
@@ -90,7 +90,7 @@
     ],
 )
 def test_connections_are_bounded_by_descriptors_and_memory(limits: dict[str, int], most: int) -> None:
-    assert config.read(broken(limits=limits)).connections == most
+    assert config.read(config_text(limits=limits)).connections == most
 
 
 def test_no_configuration_is_one_line_and_exit_2() -> None:
@@ -102,7 +102,7 @@
 def test_an_address_in_use_is_one_line_and_exit_2(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         path = tmp_path / "config.json"
-        path.write_text(broken(listen="127.0.0.1:%d" % taken.getsockname()[1]))
+        path.write_text(config_text(listen="127.0.0.1:%d" % taken.getsockname()[1]))
         done = subprocess.run(
             COMMAND,
             cwd=ROOT,
@@ -116,7 +116,7 @@
 
 
 @asynccontextmanager
-async def program(
+async def balancer_process(
     stub: Stub,
     folder: Path,
     stderr: int | None = None,
@@ -138,7 +138,7 @@
         stderr=stderr,
     )
     try:
-        await listening(port)
+        await wait_until_listening(port)
         yield process, port
     finally:
         if process.returncode is None:
@@ -146,29 +146,29 @@
             await process.wait()
 
 
-async def listening(port: int) -> None:
+async def wait_until_listening(port: int) -> None:
     while True:
         with suppress(OSError):
-            (await call(port)).writer.close()
+            (await connect(port)).writer.close()
             return
         await asyncio.sleep(0.01)
 
 
-async def call(port: int) -> Caller:
+async def connect(port: int) -> Caller:
     return Caller(*await asyncio.open_connection("127.0.0.1", port))
 
 
 def test_sigterm_answers_all_that_was_taken_and_exits_0(tmp_path: Path) -> None:
     async def main() -> None:
         stub = await Stub(silent).start()
-        async with program(stub, tmp_path) as (process, port):
-            kept, busy, probe = await call(port), await call(port), await call(port)
+        async with balancer_process(stub, tmp_path) as (process, port):
+            kept, busy, probe = await connect(port), await connect(port), await connect(port)
             assert "200" in (await probe.ask(b"GET /ready HTTP/1.1\r\nHost: b\r\n\r\n")).start
             busy.writer.write(request(rid="busy"))
             await until(lambda: len(stub.seen) == 1)
             process.send_signal(signal.SIGTERM)
-            await until_not_ready(probe)  # kept, and between requests: served on
-            late = await call(port)  # still comes in, and is answered
+            await wait_until_not_ready(probe)  # kept, and between requests: served on
+            late = await connect(port)  # still comes in, and is answered
             stub.handler = says(answer(b"late"))
             assert (await late.ask(request("check", rid="late"))).body == b"late"
             for n in range(3):  # this client has nowhere else to go while the others are restarted too
@@ -183,7 +183,7 @@
     run(main())
 
 
-async def until_not_ready(probe: Caller) -> None:
+async def wait_until_not_ready(probe: Caller) -> None:
     while "200" in (await probe.ask(b"GET /ready HTTP/1.1\r\nHost: b\r\n\r\n")).start:
         await asyncio.sleep(0.01)
 
@@ -191,11 +191,11 @@
 def test_sigterm_answers_and_lets_go_of_those_who_stay_before_it_is_killed(tmp_path: Path) -> None:
     async def main() -> None:
         stub = await Stub(silent).start()
-        async with program(stub, tmp_path, stderr=asyncio.subprocess.PIPE) as (process, port):
-            idle, waiting = await call(port), await call(port)
+        async with balancer_process(stub, tmp_path, stderr=asyncio.subprocess.PIPE) as (process, port):
+            idle, waiting = await connect(port), await connect(port)
             assert "200" in (await idle.ask(b"GET /ready HTTP/1.1\r\nHost: b\r\n\r\n")).start
             process.send_signal(signal.SIGTERM)
-            await until_not_ready(idle)
+            await wait_until_not_ready(idle)
             # It would wait for longer than the program lives.
             got = await waiting.ask(request("send", rid="waiting", deadline=5000))
             assert int(got.start.split()[1]) >= 500 and got.headers["connection"] == "close"
@@ -211,8 +211,8 @@
 def test_sigterm_does_not_wait_for_a_request_that_never_comes_whole(tmp_path: Path) -> None:
     async def main() -> None:
         stub = await Stub(silent).start()
-        async with program(stub, tmp_path) as (process, port):
-            half = await call(port)
+        async with balancer_process(stub, tmp_path) as (process, port):
+            half = await connect(port)
             half.writer.write(b"POST /api HTTP/1.1\r\nHost: b\r\n")
             await half.writer.drain()
             process.send_signal(signal.SIGTERM)
@@ -225,7 +225,7 @@
 def test_sigterm_with_nothing_to_do_exits_0(tmp_path: Path) -> None:
     async def main() -> None:
         stub = await Stub(silent).start()
-        async with program(stub, tmp_path) as (process, _):
+        async with balancer_process(stub, tmp_path) as (process, _):
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
 
@@ -235,7 +235,7 @@
 # ---- a new configuration ----
 
 
-def move(folder: Path, registry: Registry, process: asyncio.subprocess.Process) -> None:
+def switch_discovery(folder: Path, registry: Registry, process: asyncio.subprocess.Process) -> None:
     path = folder / "config.json"
     given = json.loads(path.read_text())
     path.write_text(json.dumps({**given, "discovery": "%s:%d" % registry.address}))
@@ -246,13 +246,13 @@
     async def main() -> None:
         stub, added = await Stub(silent).start(), await Stub(says(answer(b"added"))).start()
         second, third = await Registry().start(), await Registry().start()
-        async with program(stub, tmp_path) as (process, port):
-            busy, kept = await call(port), await call(port)
+        async with balancer_process(stub, tmp_path) as (process, port):
+            busy, kept = await connect(port), await connect(port)
             busy.writer.write(request(rid="busy"))
             await until(lambda: len(stub.seen) == 1)
-            move(tmp_path, second, process)
+            switch_discovery(tmp_path, second, process)
             await until(lambda: second.paths == ["/v1/endpoints"])  # whole: generations may not compare
-            move(tmp_path, third, process)  # while the first such call is open
+            switch_discovery(tmp_path, third, process)  # while the first such call is open
             await until(lambda: third.paths == ["/v1/endpoints"])
             # Lower than the generation known before, and followed nevertheless.
             third.put(listing(0, True, instance("s0", stub.address), instance("s1", added.address)))
@@ -278,13 +278,13 @@
 def test_a_sighup_while_the_program_stops_harms_nothing(tmp_path: Path) -> None:
     async def main() -> None:
         stub, second = await Stub(silent).start(), await Registry().start()
-        async with program(stub, tmp_path) as (process, port):
-            busy, probe = await call(port), await call(port)
+        async with balancer_process(stub, tmp_path) as (process, port):
+            busy, probe = await connect(port), await connect(port)
             busy.writer.write(request(rid="busy"))
             await until(lambda: len(stub.seen) == 1)
             process.send_signal(signal.SIGTERM)
-            await until_not_ready(probe)
-            move(tmp_path, second, process)
+            await wait_until_not_ready(probe)
+            switch_discovery(tmp_path, second, process)
             await until(lambda: second.paths == ["/v1/endpoints"])
             (tmp_path / "config.json").write_text("{")
             process.send_signal(signal.SIGHUP)
@@ -344,8 +344,8 @@
             process.send_signal(signal.SIGHUP)
             await until(lambda: bool(registry.paths) or process.returncode is not None)
             assert process.returncode is None
-            await listening(port)
-            caller = await call(port)
+            await wait_until_listening(port)
+            caller = await connect(port)
             assert "200" in (await caller.ask(request("check"))).start
             caller.writer.close()
         finally:
@@ -360,18 +360,18 @@
     async def main() -> None:
         stub = await Stub(says(answer())).start()
         second = await Registry().start()
-        async with program(stub, tmp_path, stderr=asyncio.subprocess.PIPE) as (process, port):
-            path, caller = tmp_path / "config.json", await call(port)
+        async with balancer_process(stub, tmp_path, stderr=asyncio.subprocess.PIPE) as (process, port):
+            path, caller = tmp_path / "config.json", await connect(port)
             sound = path.read_text()
             assert process.stderr is not None
-            for bad in ("{", "", broken(discovery="nowhere"), "[]"):
+            for bad in ("{", "", config_text(discovery="nowhere"), "[]"):
                 path.write_text(bad)
                 process.send_signal(signal.SIGHUP)
                 line = (await process.stderr.readline()).decode()
                 assert "the old configuration is kept" in line
                 assert "200" in (await caller.ask(request("check", rid=str(len(line))))).start
             path.write_text(sound)
-            move(tmp_path, second, process)
+            switch_discovery(tmp_path, second, process)
             await until(lambda: second.paths == ["/v1/endpoints"])
 
     run(main())
--- a/tests/node/test_settings_watch.py
+++ b/tests/node/test_settings_watch.py
@@ -12,7 +12,7 @@
 from dykeshift import control
 from dykeshift.interface import Action, Settings
 from dykeshift.node import settings_watch
-from dykeshift.node.__main__ import watch_settings
+from dykeshift.node.__main__ import start_settings_watch
 from dykeshift.node.upstream import FRESH
 from tests.node.stubs import (
     Node,
@@ -237,7 +237,7 @@
         stub = await Stub(says(answer())).start()
         async with node(stub) as balancer:
             assert balancer.given.control is None and balancer.given.settings_version == 0
-            made = watch_settings(balancer.given, None)  # type: ignore[arg-type]
+            made = start_settings_watch(balancer.given, None)  # type: ignore[arg-type]
             assert made is None
 
     run(main())
--- a/tests/node/test_wind_down.py
+++ b/tests/node/test_wind_down.py
@@ -15,14 +15,20 @@
 @pytest.fixture(autouse=True)
 def _no_time_passes_unused(monkeypatch: pytest.MonkeyPatch) -> None:
     """The listener is closed at once; SIGKILL is due 0.4 s after SIGTERM."""
-    times = {"ARRIVALS": 0.0, "LONGEST_COUNTED": 0.2, "KILL_DELAY": 0.2, "MARGIN": 0.1, "CLOSING": 1.0}
+    times = {
+        "ACCEPT_AFTER_SIGTERM_S": 0.0,
+        "MAX_COUNTED_DEADLINE_S": 0.2,
+        "SIGKILL_AFTER_DEADLINE_S": 0.2,
+        "SIGKILL_MARGIN_S": 0.1,
+        "CLOSING_PHASE_S": 1.0,
+    }
     for name, value in times.items():
         monkeypatch.setattr(shutdown, name, value)
 
 
-async def wind_down(balancer: Node) -> None:
+async def shut_down_gracefully(balancer: Node) -> None:
     now = asyncio.get_running_loop().time()
-    await shutdown.wind_down(balancer.front, balancer.listener, now, 5.0)
+    await shutdown.shut_down_gracefully(balancer.front, balancer.listener, now, 5.0)
 
 
 def owed(balancer: Node) -> list[Client]:
@@ -41,7 +47,7 @@
         async with node(stub) as balancer:
             with socket.create_connection(balancer.address) as peer:  # the loop has had no turn since
                 peer.sendall(request())
-                await wind_down(balancer)
+                await shut_down_gracefully(balancer)
                 got = await received(peer)
                 assert got.startswith(b"HTTP/1.1 200") and b"Connection: close" in got
 
@@ -57,7 +63,7 @@
                     peer.setblocking(True)
                     peer.sendall(request(rid=rid))  # r2: as the last look at all clients comes
                     if rid == "r2":
-                        await wind_down(balancer)
+                        await shut_down_gracefully(balancer)
                         assert not owed(balancer)
                     assert (await received(peer)).startswith(b"HTTP/1.1 200")
 
@@ -73,7 +79,7 @@
             caller.writer.write(request(klass, deadline=5000))
             await until(lambda: len(stub.seen) == 1)
             async with asyncio.timeout(3):
-                await wind_down(balancer)
+                await shut_down_gracefully(balancer)
             assert not balancer.front.driver.jobs and not owed(balancer)
             assert int((await read_message(caller.reader)).start.split()[1]) >= 500
             caller.writer.close()
@@ -86,7 +92,7 @@
         async with node() as balancer:
             caller = await balancer.open()
             await until(lambda: len(balancer.front.clients) == 1)
-            await wind_down(balancer)
+            await shut_down_gracefully(balancer)
             assert await caller.reader.read() == b"" and not balancer.front.clients
             caller.writer.close()
 
@@ -112,7 +118,7 @@
                     abort(client)
 
                 monkeypatch.setattr(Client, "abort", cross)
-                await wind_down(balancer)
+                await shut_down_gracefully(balancer)
                 assert (await received(peer)).startswith(b"HTTP/1.1 200")  # to r1
                 with pytest.raises(ConnectionResetError):
                     await received(peer)
