--- a/dykeshift/benchlink.py
+++ b/dykeshift/benchlink.py
@@ -29,7 +29,13 @@
     Watch,
 )
 from dykeshift.rules import Balancer
-from dykeshift.settings import REPORT_FIELDS, Malformed, load_report, read_settings, word
+from dykeshift.settings import (
+    LOAD_REPORT_FIELDS,
+    MalformedInputError,
+    build_load_report,
+    parse_settings_json,
+    parse_choice,
+)
 
 _LIST_KINDS = {
     "diff": ListKind.DELTA,
@@ -69,7 +75,7 @@
 
 def _report(text: str) -> LoadReport | None:
     pairs = (pair.partition(":") for pair in text.split(","))
-    return load_report({name: float(value) for name, _, value in pairs if name in REPORT_FIELDS})
+    return build_load_report({name: float(value) for name, _, value in pairs if name in LOAD_REPORT_FIELDS})
 
 
 def _encode(i: int, actions: list[Action], out: list[str]) -> None:
@@ -90,7 +96,7 @@
             out.append(f"EMIT\t{i}\t{' '.join(a.text.split())}\n")
 
 
-class Link:
+class SimulatorLink:
     """Hosts the instances and turns one batch into one reply."""
 
     def __init__(self) -> None:
@@ -100,7 +106,7 @@
         """Give one event to its instance; what it wants done comes back."""
         name, i = parts[0], int(parts[1])
         if name == "CONFIGURE":
-            seed, settings = int(parts[2]), read_settings(parts[3])
+            seed, settings = int(parts[2]), parse_settings_json(parts[3])
             self.instances[i] = Balancer(settings, seed)
             return self._decide(self.instances[i].on_start, now)
         if name == "SHUTDOWN":
@@ -108,10 +114,10 @@
             return []
         balancer = self.instances.get(i)
         if balancer is None:
-            raise Malformed(f"instance {i} has no CONFIGURE yet")
+            raise MalformedInputError(f"instance {i} has no CONFIGURE yet")
         if name == "SUBMIT":
             if not 0 <= _int(parts[6]) < len(balancer.settings.classes):
-                raise Malformed(f"kind {parts[6]} is no class of the settings")
+                raise MalformedInputError(f"kind {parts[6]} is no class of the settings")
             request = Request(
                 id=parts[2],
                 klass=_int(parts[6]),
@@ -127,7 +133,7 @@
                 request_id=parts[2],
                 attempt=int(parts[3]),
                 server=int(parts[4]),
-                outcome=word(_OUTCOMES, parts[5], "how"),
+                outcome=parse_choice(_OUTCOMES, parts[5], "how"),
                 latency=_int(parts[6]),
                 final=parts[7] == "1",
                 report=_report(parts[8]),
@@ -146,13 +152,15 @@
                     zone=_int(p[7]),
                     cell=_int(p[1]),
                     kind=_int(p[2]),
-                    state=word(_STATES, p[3], "availability"),
+                    state=parse_choice(_STATES, p[3], "availability"),
                     weight=1.0 if p[4] == "-" else float(p[4]),
                     started=_int(p[6]),
                 )
                 for p in entries
             )
-            return self._decide(balancer.on_list, now, ServerList(word(_LIST_KINDS, parts[3], "kind"), rows))
+            return self._decide(
+                balancer.on_list, now, ServerList(parse_choice(_LIST_KINDS, parts[3], "kind"), rows)
+            )
         return []  # PROBE_DONE and NEIGHBOUR_SAYS: this module sends no probes and no messages
 
     @staticmethod
@@ -160,10 +168,10 @@
         try:
             return method(*args)
         except Exception as exc:
-            raise DecisionFault(f"{type(exc).__name__}: {exc}") from exc
+            raise DecisionError(f"{type(exc).__name__}: {exc}") from exc
 
 
-class DecisionFault(Exception):
+class DecisionError(Exception):
     """The decision code itself failed."""
 
 
@@ -171,48 +179,54 @@
     name = line.partition("\t")[0]
     count = _FIELDS.get(name)
     if count is None:
-        raise Malformed(f"line {number}: unknown event {name[:40]!r}")
+        raise MalformedInputError(f"line {number}: unknown event {name[:40]!r}")
     parts = line.split("\t", count - 1) if name == "CONFIGURE" else line.split("\t")
     if len(parts) != count:
-        raise Malformed(f"line {number}: {name} has {len(parts) - 1} fields, expected {count - 1}")
+        raise MalformedInputError(f"line {number}: {name} has {len(parts) - 1} fields, expected {count - 1}")
     return parts
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
     """Answer batch after batch until the input ends."""
-    link = Link()
+    link = SimulatorLink()
     lines: Iterator[tuple[int, str]] = enumerate((raw.rstrip("\r\n") for raw in source), 1)
     for number, head in lines:
         sync = head.split("\t")
         if sync[0] != "SYNC" or len(sync) != 3 or not sync[1].isdigit() or not sync[2].isdigit():
-            raise Malformed(f"line {number}: expected SYNC, clock time and batch number, got {head[:60]!r}")
+            raise MalformedInputError(
+                f"line {number}: expected SYNC, clock time and batch number, got {head[:60]!r}"
+            )
         now, out = int(sync[1]), list[str]()
         while True:
             number, line = next(lines, (number, ""))
             if line == "END":
                 break
             if not line:
-                raise Malformed(f"line {number}: batch {sync[2]} was cut short, expected an event or END")
+                raise MalformedInputError(
+                    f"line {number}: batch {sync[2]} was cut short, expected an event or END"
+                )
             parts = _split(line, number)
             where = number
             try:
                 if parts[0] == "M":
-                    raise Malformed("list entry outside an ANNOUNCE")
+                    raise MalformedInputError("list entry outside an ANNOUNCE")
                 entries = []
                 for _ in range(int(parts[4]) if parts[0] == "ANNOUNCE" else 0):
                     where, row = next(lines, (where, ""))
                     if row.partition("\t")[0] != "M":
-                        raise Malformed("expected a list entry M")
+                        raise MalformedInputError("expected a list entry M")
                     entries.append(_split(row, where))
                 number = where
                 _encode(int(parts[1]), link.event(now, parts, entries), out)
-            except DecisionFault as fault:
+            except DecisionError as fault:
                 out.append(f"BUG\t{parts[1]}\t{fault}\n".replace("\r", " "))
-            except Malformed as exc:
+            except MalformedInputError as exc:
                 text = str(exc)
-                raise Malformed(text if text.startswith("line ") else f"line {where}: {text}") from None
+                raise MalformedInputError(
+                    text if text.startswith("line ") else f"line {where}: {text}"
+                ) from None
             except ValueError as exc:
-                raise Malformed(f"line {where}: {parts[0]} expects a number: {exc}") from None
+                raise MalformedInputError(f"line {where}: {parts[0]} expects a number: {exc}") from None
         out.append(f"END\t{sync[2]}\n")
         sink.write("".join(out))
         sink.flush()
@@ -222,7 +236,7 @@
     gc.disable()  # the module makes no cycles; a collection in mid-batch would only cost time
     try:
         serve(sys.stdin, sys.stdout)
-    except Malformed as exc:
+    except MalformedInputError as exc:
         print(f"benchlink: {exc}", file=sys.stderr)
         return 2
     except UnicodeDecodeError as exc:
--- a/dykeshift/control.py
+++ b/dykeshift/control.py
@@ -13,18 +13,18 @@
 from random import Random
 from typing import Any, Generic, TypeVar
 
-from dykeshift.settings import Malformed
-from dykeshift.settings_check import check_settings, with_fixed
+from dykeshift.settings import MalformedInputError
+from dykeshift.settings_check import check_settings, with_fixed_keys
 
-HOLD_MS = 2_000  # how long a watch may wait at the agent; one that fell silent shows soon after
-FIRST_PAUSE, LONGEST_PAUSE = 0.2, 1.6  # seconds; doubled with each failure in a row
-LEAST_JITTER = 0.5  # of the pause; the rest is at random
-REMEMBERED = 64  # bad versions
+LONG_POLL_HOLD_MS = 2_000  # how long a watch may wait at the agent; one that fell silent shows soon after
+FIRST_BACKOFF_S, MAX_BACKOFF_S = 0.2, 1.6  # seconds; doubled with each failure in a row
+MIN_BACKOFF_SHARE = 0.5  # of the pause; the rest is at random
+MAX_REMEMBERED_REJECTIONS = 64  # bad versions
 
 Parsed = TypeVar("Parsed")
 
 
-class DocumentError(Malformed):
+class DocumentError(MalformedInputError):
     """An answer of the agent that is no settings document."""
 
 
@@ -62,10 +62,10 @@
     """The next call to the agent."""
 
     path: str
-    hold: float  # seconds that the answer may be held back
+    hold_s: float  # seconds that the answer may be held back
 
 
-def read_document(raw: Any) -> Document:
+def parse_document(raw: Any) -> Document:
     """The document in parsed JSON; its settings are not looked into."""
     if type(raw) is not dict:
         raise DocumentError("a settings document is no object")
@@ -87,64 +87,66 @@
     ) -> None:
         self.base = base  # the settings that the balancer was started with
         self.version = version  # in force
-        self.seen = version  # the newest heard of, sound or not
+        self.newest_seen = version  # the newest heard of, sound or not
         self.parse = parse
         self.random = Random(seed).random
         self.rejected: dict[int, None] = {}  # in the order of their coming
-        self.below: int | None = None  # a bad version: the newest one before it is wanted
-        self.failures = 0  # calls in a row
-        self.answered = False  # since the start or the last failure
+        self.search_below: int | None = None  # a bad version: the newest one before it is wanted
+        self.consecutive_failures = 0  # calls in a row
+        self.last_call_answered = False  # since the start or the last failure
 
-    def settled(self) -> bool:
+    def is_up_to_date(self) -> bool:
         """Whether the newest sound version that the agent holds is in force."""
-        return self.answered and self.below is None
+        return self.last_call_answered and self.search_below is None
 
     def next_query(self) -> Query:
         """What to ask for now."""
-        if self.below is not None:
-            return Query(f"/v1/settings?before={self.below}", 0.0)
-        hold_ms = HOLD_MS if self.answered else 0  # an agent that may hold news is asked to answer at once
-        return Query(f"/v1/settings?from={self.seen}&hold_ms={hold_ms}", hold_ms / 1000)
+        if self.search_below is not None:
+            return Query(f"/v1/settings?before={self.search_below}", 0.0)
+        hold_ms = (
+            LONG_POLL_HOLD_MS if self.last_call_answered else 0
+        )  # an agent that may hold news is asked to answer at once
+        return Query(f"/v1/settings?from={self.newest_seen}&hold_ms={hold_ms}", hold_ms / 1000)
 
     def on_document(self, raw: Any) -> Apply[Parsed] | Ignore | Reject:
         """Judge an answer; DocumentError if it is none, which counts as a failed call."""
-        document = read_document(raw)
-        self.failures, self.answered = 0, True
-        searched, self.below = self.below, None
+        document = parse_document(raw)
+        self.consecutive_failures, self.last_call_answered = 0, True
+        searched, self.search_below = self.search_below, None
         version = document.version
         if document.settings is None or version <= self.version:
             return Ignore()
         if searched is not None and version >= searched:
             raise DocumentError(f"version {version} came where one before {searched} was asked for")
-        self.seen = max(self.seen, version)
+        self.newest_seen = max(self.newest_seen, version)
         if version in self.rejected:
-            self.below = version
+            self.search_below = version
             return Ignore()
         try:
-            whole = with_fixed(document.settings, self.base)
+            whole = with_fixed_keys(document.settings, self.base)
             check_settings(whole)
             return Apply(version, self.parse(whole))
-        except (Malformed, ValueError, TypeError, AttributeError, ArithmeticError) as exc:
-            return self.failed(version, str(exc))
+        except (MalformedInputError, ValueError, TypeError, AttributeError, ArithmeticError) as exc:
+            return self.reject(version, str(exc))
 
-    def applied(self, version: int) -> None:
+    def on_applied(self, version: int) -> None:
         """This version is in force."""
         self.version = version
         self.rejected = {n: None for n in self.rejected if n > version}
 
-    def failed(self, version: int, reason: str) -> Reject:
+    def reject(self, version: int, reason: str) -> Reject:
         """This version cannot be used, whatever the reason; the one in force stays."""
         self.rejected[version] = None
-        if len(self.rejected) > REMEMBERED:
+        if len(self.rejected) > MAX_REMEMBERED_REJECTIONS:
             del self.rejected[next(iter(self.rejected))]
-        self.below = version
+        self.search_below = version
         line = " ".join(reason.split())
         return Reject(
             version, f"settings version {version} is turned down, version {self.version} stays: {line}"
         )
 
-    def on_failure(self) -> float:
+    def on_call_failed(self) -> float:
         """A call failed: the seconds until the next one."""
-        pause = min(LONGEST_PAUSE, FIRST_PAUSE * 2 ** min(self.failures, 10))
-        self.failures, self.answered = self.failures + 1, False
-        return float(pause * (LEAST_JITTER + (1 - LEAST_JITTER) * self.random()))
+        pause = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2 ** min(self.consecutive_failures, 10))
+        self.consecutive_failures, self.last_call_answered = self.consecutive_failures + 1, False
+        return float(pause * (MIN_BACKOFF_SHARE + (1 - MIN_BACKOFF_SHARE) * self.random()))
--- a/dykeshift/node/__main__.py
+++ b/dykeshift/node/__main__.py
@@ -18,9 +18,9 @@
 from dykeshift.node.driver import Driver
 from dykeshift.node.listener import Listener
 from dykeshift.node.listing import ListReader
-from dykeshift.node.reload import Reload
+from dykeshift.node.reload import ConfigReload
 from dykeshift.node.server import Front
-from dykeshift.node.service_settings import ServiceSettings
+from dykeshift.node.service_settings import SettingsApplier
 from dykeshift.node.settings_watch import SettingsWatch
 from dykeshift.node.shutdown import StopSignal, shut_down_gracefully
 from dykeshift.node.startup import load_config_with_retries, new_event_loop
@@ -33,10 +33,12 @@
 async def serve(
     configuration: config.Config,
     load_configuration: Callable[[], config.Config],
-    on_started: Callable[[Front, Listener, Reload], None] | None = None,
+    on_started: Callable[[Front, Listener, ConfigReload], None] | None = None,
 ) -> None:
     loop = asyncio.get_running_loop()
-    pool = Pool(loop, configuration.connections, configuration.connect_timeout, configuration.keepalive)
+    pool = Pool(
+        loop, configuration.max_connections, configuration.connect_timeout_s, configuration.keepalive_s
+    )
     driver = Driver(
         loop, Balancer(configuration.settings, configuration.seed), pool, lambda: discovery.watch()
     )
@@ -47,19 +49,19 @@
         driver.apply,
         driver.discovery_failed,
         not configuration.settings.ask_discovery,
-        configuration.drain_grace,
+        configuration.drain_grace_s,
         lambda number: pool.listed.get(number),
     )
     front = Front(
         loop,
         driver,
         requests.Reader(configuration.settings.classes, configuration.tenants),
-        configuration.connections,
+        configuration.max_connections,
     )
     stop = StopSignal(loop)
     loop.add_signal_handler(signal.SIGTERM, stop)
     loop.add_signal_handler(signal.SIGINT, stop)
-    reload = Reload(loop, load_configuration, discovery, driver)
+    reload = ConfigReload(loop, load_configuration, discovery, driver)
     loop.add_signal_handler(signal.SIGHUP, reload)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])
     try:
@@ -67,15 +69,15 @@
     except OSError as error:
         raise listen_error(configuration, error) from None
     driver.start()
-    discovery.take_known(configuration.known)
-    watch = start_settings_watch(configuration, ServiceSettings(driver, discovery, front))
+    discovery.take_known(configuration.known_list)
+    watch = start_settings_watch(configuration, SettingsApplier(driver, discovery, front))
     if not configuration.settings.ask_discovery:
         discovery.watch()
         # What the agent has counts as told since before the program was loaded: the list known from
         # before serves only if the agent has nothing to say.
         await discovery.asked.wait()
     if watch is not None:
-        await watch.wait_settled()
+        await watch.wait_until_up_to_date()
     if stop.received_at is not None:  # the time until SIGKILL runs already, and nobody has been taken on
         log.info("stopped before it began to serve")
         return
@@ -101,7 +103,7 @@
 
 
 def start_settings_watch(
-    configuration: config.Config, service: ServiceSettings
+    configuration: config.Config, service: SettingsApplier
 ) -> SettingsWatch[config.Config] | None:
     """The watch on the settings, begun, where the configuration names an agent for it."""
     if configuration.control is None:
@@ -109,7 +111,7 @@
     base: dict[str, Any] = configuration.raw["settings"]
     parse = partial(config.with_settings, configuration)
     control = SettingsControl(base, configuration.settings_version, parse, configuration.seed)
-    return SettingsWatch(asyncio.get_running_loop(), configuration.control, control, service.put_in_force)
+    return SettingsWatch(asyncio.get_running_loop(), configuration.control, control, service.apply)
 
 
 def run(path: str) -> None:
@@ -117,7 +119,7 @@
     # It would end the program; one that comes before there is a handler waits until there is.
     signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP])
     configuration = load_config_with_retries(path)
-    reload = partial(config.load, path, with_known=False)  # the list held is newer
+    reload = partial(config.load, path, with_known_list=False)  # the list held is newer
     with asyncio.Runner(loop_factory=new_event_loop) as runner:
         runner.run(serve(configuration, reload))
 
--- a/dykeshift/node/address.py
+++ b/dykeshift/node/address.py
@@ -7,7 +7,7 @@
 Address = tuple[str, int]
 
 
-def read_address(text: Any) -> Address:
+def parse_address(text: Any) -> Address:
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdecimal() or not 0 <= int(port) < 65536:
         raise ValueError(f"{text!r} is no address of the form host:port")
--- a/dykeshift/node/config.py
+++ b/dykeshift/node/config.py
@@ -8,25 +8,29 @@
 from typing import Any
 
 from dykeshift.interface import Settings
-from dykeshift.node.address import Address, read_address
+from dykeshift.node.address import Address, parse_address
 from dykeshift.node.json_cursor import JsonCursor
 from dykeshift.node.listing import Listing, Row, read_rows
 from dykeshift.node.passing_errors import is_transient
 from dykeshift.node.tenants import TenantTable
-from dykeshift.settings import Malformed, SettingsError, need, parse_settings
+from dykeshift.settings import MalformedInputError, SettingsError, require, parse_settings
 
 log = logging.getLogger(__name__)
 
-SHARE = 0.4  # of the descriptors, for the connections to clients and again for those to upstreams
-PROGRAM = 16.0  # MB that the program needs with no connection open, measured, with some room
-BUFFERS = 0.128  # MB that one connection holds at the most: a whole body, and again while it is passed on
+CONNECTION_DESCRIPTOR_SHARE = (
+    0.4  # of the descriptors, for the connections to clients and again for those to upstreams
+)
+BASE_MEMORY_MB = 16.0  # MB that the program needs with no connection open, measured, with some room
+CONNECTION_MEMORY_MB = (
+    0.128  # MB that one connection holds at the most: a whole body, and again while it is passed on
+)
 
 
 class ConfigError(Exception):
     """The configuration cannot be used; its text is one plain line for people."""
 
 
-class UnreadableError(ConfigError):
+class TransientReadError(ConfigError):
     """The file could not be read, for a reason that may pass within a moment."""
 
 
@@ -36,21 +40,21 @@
     listen: Address
     discovery: Address
     seed: int
-    connections: int  # most that may be open to clients, and as many to upstreams
-    known: Listing[Row] | None  # the list as this balancer last had it; None: none that is sound
+    max_connections: int  # most that may be open to clients, and as many to upstreams
+    known_list: Listing[Row] | None  # the list as this balancer last had it; None: none that is sound
     settings: Settings
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
     tenants: TenantTable
-    keepalive: float  # seconds after which an upstream closes an idle connection
-    connect_timeout: float  # seconds
-    drain_grace: float  # seconds after a drain is told in which sends to that server have to stop
+    keepalive_s: float  # seconds after which an upstream closes an idle connection
+    connect_timeout_s: float  # seconds
+    drain_grace_s: float  # seconds after a drain is told in which sends to that server have to stop
     settings_version: int  # of the settings; 0 where the deployment counts none
     control: Address | None  # the agent that tells of new settings in service, where there is one
 
 
 @dataclass(frozen=True, slots=True)
-class Tenants:
+class TenantList:
     """In the settings' order. As the objects of their JSON they would take several times the memory."""
 
     names: list[bytes] = field(default_factory=list)
@@ -68,64 +72,64 @@
         return None
 
 
-def load(path: str, with_known: bool = True) -> Config:
+def load(path: str, with_known_list: bool = True) -> Config:
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
     except OSError as exc:
-        kind = UnreadableError if is_transient(exc) else ConfigError
+        kind = TransientReadError if is_transient(exc) else ConfigError
         raise kind(f"cannot read the configuration {path!r}: {exc}") from None
     except ValueError as exc:
         raise ConfigError(f"cannot read the configuration {path!r}: {exc}") from None
     try:
-        return read(text, with_known)
-    except (Malformed, ValueError, TypeError, AttributeError, RecursionError) as exc:
+        return parse(text, with_known_list)
+    except (MalformedInputError, ValueError, TypeError, AttributeError, RecursionError) as exc:
         raise ConfigError(f"bad configuration {path!r}: {exc}") from None
 
 
-def read(text: str, with_known: bool = True) -> Config:
+def parse(text: str, with_known_list: bool = True) -> Config:
     """The configuration from its JSON, whose longest parts are never held as objects all at once."""
     cursor = JsonCursor(text)
     raw: dict[str, Any] = {}
-    tenants, known = Tenants(), None
-    for key in cursor.members():
-        if key == "known" and with_known:
-            known = read_known(cursor)
+    tenants, known_list = TenantList(), None
+    for key in cursor.read_keys():
+        if key == "known" and with_known_list:
+            known_list = read_known_list(cursor)
         elif key == "known":
-            skip_known(cursor)
-        elif key == "settings" and cursor.begins("{"):
+            skip_known_list(cursor)
+        elif key == "settings" and cursor.is_at("{"):
             raw[key], tenants = read_settings_members(cursor)
         else:
-            raw[key] = cursor.value()
-    cursor.end()
-    return parse(raw, tenants, known)
+            raw[key] = cursor.read_value()
+    cursor.expect_end()
+    return build(raw, tenants, known_list)
 
 
-def read_settings_members(cursor: JsonCursor) -> tuple[dict[str, Any], Tenants]:
+def read_settings_members(cursor: JsonCursor) -> tuple[dict[str, Any], TenantList]:
     """The settings that begin here, and apart from them their tenants."""
     raw: dict[str, Any] = {}
-    tenants = Tenants()
-    for key in cursor.members():
+    tenants = TenantList()
+    for key in cursor.read_keys():
         if key == "parties":
             tenants = read_tenants(cursor)
         else:
-            raw[key] = cursor.value()
+            raw[key] = cursor.read_value()
     return raw, tenants
 
 
-def read_tenants(cursor: JsonCursor) -> Tenants:
-    if not cursor.begins("["):
+def read_tenants(cursor: JsonCursor) -> TenantList:
+    if not cursor.is_at("["):
         raise SettingsError("settings.parties is no list")
-    tenants = Tenants()
-    parties = cursor.value(json.JSONDecoder(object_pairs_hook=tenants.add).raw_decode)
+    tenants = TenantList()
+    parties = cursor.read_value(json.JSONDecoder(object_pairs_hook=tenants.add).raw_decode)
     if len(parties) != len(tenants.shares) or any(party is not None for party in parties):
         raise SettingsError("settings lack settings.parties[].name or quotaPerS")
     return tenants
 
 
-def read_known(cursor: JsonCursor) -> Listing[Row] | None:
+def read_known_list(cursor: JsonCursor) -> Listing[Row] | None:
     """The list that begins here; one that is unsound is dropped, the rest of the configuration holds."""
-    unknown = cursor.begins("null")
+    unknown = cursor.is_at("null")
     start = cursor.position
     try:
         return read_rows(cursor)
@@ -133,54 +137,60 @@
         if not unknown:
             log.warning("the known list is dropped: %s", exc)
     cursor.position = start
-    cursor.value()
+    cursor.read_value()
     return None
 
 
-def skip_known(cursor: JsonCursor) -> None:
+def skip_known_list(cursor: JsonCursor) -> None:
     """Pass over the list that begins here, row by row, as its objects at once would take much memory."""
-    if not cursor.begins("{"):
-        cursor.value()
+    if not cursor.is_at("{"):
+        cursor.read_value()
         return
-    for key in cursor.members():
-        if key == "instances" and cursor.begins("["):
-            for _ in cursor.elements():
+    for key in cursor.read_keys():
+        if key == "instances" and cursor.is_at("["):
+            for _ in cursor.read_elements():
                 pass
         else:
-            cursor.value()
+            cursor.read_value()
 
 
-def most_connections(limits: dict[str, Any]) -> int:
+def max_connections(limits: dict[str, Any]) -> int:
     """Of either kind, so that neither descriptors nor memory run out when all of them are full.
 
     What is left of the descriptors is for accepting, discovery and sockets that are being closed.
     """
     sockets, memory = int(limits.get("sockets", 1024)), float(limits.get("memory_mb", 192))
-    return max(4, min(int(sockets * SHARE), int((memory - PROGRAM) / 2 / BUFFERS)))
+    return max(
+        4,
+        min(
+            int(sockets * CONNECTION_DESCRIPTOR_SHARE),
+            int((memory - BASE_MEMORY_MB) / 2 / CONNECTION_MEMORY_MB),
+        ),
+    )
 
 
-def parse(raw: Any, tenants: Tenants, known: Listing[Row] | None) -> Config:
-    given = need(raw, "settings", "")
-    limits = need(given, "bounds", "settings.")
-    rules = need(given, "obligations", "settings.")
-    seed = str(need(raw, "seed", ""))
-    control = read_address(raw["control"]) if "control" in raw else None
+def build(raw: Any, tenants: TenantList, known_list: Listing[Row] | None) -> Config:
+    given = require(raw, "settings", "")
+    limits = require(given, "bounds", "settings.")
+    rules = require(given, "obligations", "settings.")
+    seed = str(require(raw, "seed", ""))
+    control = parse_address(raw["control"]) if "control" in raw else None
     # By name only where they may change: the table that requests are read with takes far less memory.
     numbers = {} if control is None else {name: number for number, name in enumerate(tenants.names)}
     return Config(
         raw=raw,
-        listen=read_address(need(raw, "listen", "")),
-        discovery=read_address(need(raw, "discovery", "")),
+        listen=parse_address(require(raw, "listen", "")),
+        discovery=parse_address(require(raw, "discovery", "")),
         seed=int.from_bytes(seed.encode(), "big"),
-        connections=most_connections(raw.get("limits", {})),
-        known=known,
+        max_connections=max_connections(raw.get("limits", {})),
+        known_list=known_list,
         settings=replace(parse_settings(given, tuple(tenants.shares)), tenants=numbers),
         zones=tuple(map(str, given.get("failureDomains", ()))),
         kinds=tuple(map(str, given.get("kinds", ()))),
-        tenants=TenantTable.of(tenants.names),
-        keepalive=float(need(limits, "keepaliveNs", "bounds.")) / 1e9,
-        connect_timeout=float(need(limits, "connectTimeoutNs", "bounds.")) / 1e9,
-        drain_grace=float(need(rules, "drainGraceNs", "obligations.")) / 1e9,
+        tenants=TenantTable.from_names(tenants.names),
+        keepalive_s=float(require(limits, "keepaliveNs", "bounds.")) / 1e9,
+        connect_timeout_s=float(require(limits, "connectTimeoutNs", "bounds.")) / 1e9,
+        drain_grace_s=float(require(rules, "drainGraceNs", "obligations.")) / 1e9,
         settings_version=int(raw.get("settings_version", 0)),
         control=control,
     )
@@ -188,7 +198,7 @@
 
 def with_settings(base: Config, given: Any) -> Config:
     """The same configuration with other settings."""
-    tenants = Tenants()
+    tenants = TenantList()
     for party in given.get("parties", ()):
         tenants.add(list(party.items()))
-    return parse({**base.raw, "settings": given}, tenants, None)
+    return build({**base.raw, "settings": given}, tenants, None)
--- a/dykeshift/node/json_cursor.py
+++ b/dykeshift/node/json_cursor.py
@@ -23,33 +23,33 @@
         self.text = text
         self.position = 0
 
-    def value(self, decode: Decode = _decode) -> Any:
+    def read_value(self, decode: Decode = _decode) -> Any:
         """The whole value that begins here."""
         self._skip_space()
         value, self.position = decode(self.text, self.position)
         return value
 
-    def begins(self, char: str) -> bool:
+    def is_at(self, char: str) -> bool:
         """Whether the next value begins with this character."""
         self._skip_space()
         return self.text.startswith(char, self.position)
 
-    def members(self) -> Iterator[str]:
+    def read_keys(self) -> Iterator[str]:
         """The keys of the object that begins here; the caller reads the value of each."""
         self._expect("{")
         if self._take("}"):
             return
         while True:
-            if not self.begins('"'):
+            if not self.is_at('"'):
                 raise ValueError(f"expected a key at character {self.position}")
-            key = self.value()
+            key = self.read_value()
             self._expect(":")
             yield key
             if self._take("}"):
                 return
             self._expect(",")
 
-    def elements(self) -> Iterator[Any]:
+    def read_elements(self) -> Iterator[Any]:
         """The values of the array that begins here."""
         self._expect("[")
         if self._take("]"):
@@ -65,7 +65,7 @@
             if separator[1] == "]":
                 return
 
-    def end(self) -> None:
+    def expect_end(self) -> None:
         """Check that nothing more follows."""
         self._skip_space()
         if self.position != len(self.text):
@@ -77,7 +77,7 @@
         self.position = match.end()
 
     def _take(self, char: str) -> bool:
-        if not self.begins(char):
+        if not self.is_at(char):
             return False
         self.position += 1
         return True
--- a/dykeshift/node/listing.py
+++ b/dykeshift/node/listing.py
@@ -14,7 +14,7 @@
 from typing import Any, Generic, NamedTuple, TypeVar
 
 from dykeshift.interface import ServerEntry, ServerState
-from dykeshift.node.address import read_address
+from dykeshift.node.address import parse_address
 from dykeshift.node.json_cursor import JsonCursor
 from dykeshift.node.start_clock import StartTimeConverter
 
@@ -88,7 +88,7 @@
     address = ""
     if state is not ServerState.GONE:
         address = str(raw["hostPort"])
-        read_address(address)
+        parse_address(address)
     return Row(
         number_of(str(raw["instanceId"])),
         address,
@@ -116,11 +116,11 @@
 
 def _members(cursor: JsonCursor, convert: Callable[[Row], Entry]) -> Generator[None, None, Listing[Entry]]:
     fields: dict[str, Any] = {}
-    for key in cursor.members():
-        if key == "instances" and cursor.begins("["):
+    for key in cursor.read_keys():
+        if key == "instances" and cursor.is_at("["):
             fields[key] = yield from _rows(cursor, convert)
         else:
-            fields[key] = cursor.value()
+            fields[key] = cursor.read_value()
     generation, whole, servers = fields["generation"], fields["reset"], fields["instances"]
     if type(generation) is not int or type(whole) is not bool or type(servers) is not list:
         raise ValueError("generation, reset or instances is of the wrong kind")
@@ -129,7 +129,7 @@
 
 def _rows(cursor: JsonCursor, convert: Callable[[Row], Entry]) -> Generator[None, None, list[Entry]]:
     servers: list[Entry] = []
-    for raw in cursor.elements():
+    for raw in cursor.read_elements():
         servers.append(convert(read_row(raw)))
         if len(servers) % ROWS_PER_TURN == 0:
             yield
@@ -189,7 +189,7 @@
             try:
                 next(steps)
             except StopIteration as stop:
-                cursor.end()
+                cursor.expect_end()
                 self.start_clock.note_list_read()
                 listing: Listing[Listed] = stop.value
                 return listing
--- a/dykeshift/node/reload.py
+++ b/dykeshift/node/reload.py
@@ -12,11 +12,11 @@
 
 log = logging.getLogger(__name__)
 
-TRY_AGAIN = 0.1  # seconds until a file that could not be read for a moment is read again
-PATIENCE = 3.0  # seconds for which it is: a new configuration counts 4 s after the signal
+RETRY_INTERVAL_S = 0.1  # seconds until a file that could not be read for a moment is read again
+MAX_RETRY_S = 3.0  # seconds for which it is: a new configuration counts 4 s after the signal
 
 
-class Reload:
+class ConfigReload:
     """Moves to another discovery; upstreams, connections, requests and what was learned stay.
 
     A file that cannot be used changes nothing. All else in it holds from the next start on.
@@ -33,22 +33,22 @@
         self.load = load
         self.discovery = discovery
         self.driver = driver
-        self.again: asyncio.TimerHandle | None = None  # the file could not be read
+        self.retry_timer: asyncio.TimerHandle | None = None  # the file could not be read
 
     def __call__(self) -> None:
         """Handle the signal."""
-        if self.again is not None:
-            self.again.cancel()
-            self.again = None
-        self._read(self.loop.time() + PATIENCE)
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
+            self.retry_timer = None
+        self._read(self.loop.time() + MAX_RETRY_S)
 
-    def _read(self, patience_ends: float) -> None:
-        self.again = None
+    def _read(self, retries_end: float) -> None:
+        self.retry_timer = None
         try:
             new = self.load()
-        except config.UnreadableError as exc:
-            if self.loop.time() < patience_ends:  # nobody sends the signal once more
-                self.again = self.loop.call_later(TRY_AGAIN, self._read, patience_ends)
+        except config.TransientReadError as exc:
+            if self.loop.time() < retries_end:  # nobody sends the signal once more
+                self.retry_timer = self.loop.call_later(RETRY_INTERVAL_S, self._read, retries_end)
             else:
                 log.error("the old configuration is kept: %s", exc)
         except config.ConfigError as exc:
--- a/dykeshift/node/requests.py
+++ b/dykeshift/node/requests.py
@@ -92,7 +92,7 @@
             patience=min(patience, klass.deadline),
             aim=klass.aim,
             retry=headers.get(b"x-retry") == b"1",
-            tenant=self.tenants.number(headers.get(b"x-tenant", b"")),
+            tenant=self.tenants.number_of(headers.get(b"x-tenant", b"")),
             cost_hint=_number(headers, b"x-cost-hint") * 1000 if b"x-cost-hint" in headers else 0,
             head=head + b"X-Deadline-Ms: ",
             body=bytes(body),
--- a/dykeshift/node/service_settings.py
+++ b/dykeshift/node/service_settings.py
@@ -11,21 +11,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceSettings:
+class SettingsApplier:
     """The parts of the program that go by the settings."""
 
     driver: Driver
     discovery: Discovery
     front: Front
 
-    def put_in_force(self, new: config.Config) -> bool:
+    def apply(self, new: config.Config) -> bool:
         """All parts in one turn of the event loop; False, and nothing is changed, if the module failed.
 
         Connects under way keep the time-out they began with, and open requests their class.
         """
         if not self.driver.settings_changed(new.settings):
             return False
-        self.driver.pool.set_times(new.connect_timeout, new.keepalive)
-        self.discovery.drain_grace = new.drain_grace
+        self.driver.pool.set_times(new.connect_timeout_s, new.keepalive_s)
+        self.discovery.drain_grace = new.drain_grace_s
         self.front.reader = requests.Reader(new.settings.classes, new.tenants)
         return True
--- a/dykeshift/node/settings_watch.py
+++ b/dykeshift/node/settings_watch.py
@@ -15,10 +15,10 @@
 
 log = logging.getLogger(__name__)
 
-MAX_DOCUMENT = 4 * 1024 * 1024  # bytes
-GRACE = 0.5  # seconds, beyond the hold, until a call that had no answer counts as failed
-EARLY = 0.5  # of the hold: an answer without news that comes sooner was not held
-START_WAIT = 3.0  # seconds that a new process waits at most for the agent's newest version
+MAX_DOCUMENT_BYTES = 4 * 1024 * 1024  # bytes
+ANSWER_GRACE_S = 0.5  # seconds, beyond the hold, until a call that had no answer counts as failed
+MIN_HELD_SHARE = 0.5  # of the hold: an answer without news that comes sooner was not held
+STARTUP_WAIT_S = 3.0  # seconds that a new process waits at most for the agent's newest version
 
 
 class SettingsWatch(Generic[Parsed]):
@@ -29,24 +29,24 @@
         loop: asyncio.AbstractEventLoop,
         address: Address,
         control: SettingsControl[Parsed],
-        put_in_force: Callable[[Parsed], bool],
+        apply_settings: Callable[[Parsed], bool],
     ) -> None:
         self.loop = loop
         self.control = control
-        self.put_in_force = put_in_force  # says whether it could be done
-        self.caller = Caller(loop, address, MAX_DOCUMENT)
-        self.settled = asyncio.Event()  # the newest sound version of the agent has been in force once
+        self.apply_settings = apply_settings  # says whether it could be done
+        self.caller = Caller(loop, address, MAX_DOCUMENT_BYTES)
+        self.up_to_date = asyncio.Event()  # the newest sound version of the agent has been in force once
         self.lost = False  # the last call failed
         self.task = loop.create_task(self._watch())
 
-    async def wait_settled(self) -> None:
+    async def wait_until_up_to_date(self) -> None:
         """Wait until the agent's newest version is in force, but only for so long.
 
         Protects against serving an older version than the one in force before a restart.
         """
         try:
-            async with asyncio.timeout(START_WAIT):
-                await self.settled.wait()
+            async with asyncio.timeout(STARTUP_WAIT_S):
+                await self.up_to_date.wait()
         except TimeoutError:
             log.warning("the agent has not told its settings: version %d serves", self.control.version)
 
@@ -64,23 +64,23 @@
 
     async def _ask(self, query: Query) -> None:
         began = self.loop.time()
-        answer = await self.caller.call(query.path, query.hold + GRACE)
+        answer = await self.caller.call(query.path, query.hold_s + ANSWER_GRACE_S)
         decision = self._take(answer)
         if self.lost:
             log.info("the settings watch is back")
         self.lost = False
-        if self.control.settled():
-            self.settled.set()
+        if self.control.is_up_to_date():
+            self.up_to_date.set()
         waited = self.loop.time() - began
-        if isinstance(decision, Ignore) and waited < EARLY * query.hold:
-            await asyncio.sleep(query.hold - waited)  # an agent that holds no calls is asked no more often
+        if isinstance(decision, Ignore) and waited < MIN_HELD_SHARE * query.hold_s:
+            await asyncio.sleep(query.hold_s - waited)  # an agent that holds no calls is asked no more often
 
     async def _pause(self, failure: Exception) -> None:
         if not self.lost:
             log.warning("the settings watch is lost: %s", str(failure) or "silent")
         self.lost = True
         self.caller.close()
-        await asyncio.sleep(self.control.on_failure())
+        await asyncio.sleep(self.control.on_call_failed())
 
     def _take(self, answer: Answer) -> Apply[Parsed] | Ignore | Reject:
         if answer.status != 200:
@@ -91,11 +91,11 @@
             raise DocumentError(f"a settings document is no JSON: {exc}") from None
         decision = self.control.on_document(raw)
         if isinstance(decision, Apply):
-            if self.put_in_force(decision.parsed):
-                self.control.applied(decision.version)
+            if self.apply_settings(decision.parsed):
+                self.control.on_applied(decision.version)
                 log.info("settings version %d is in force", decision.version)
                 return decision
-            decision = self.control.failed(decision.version, "the decision module failed over it")
+            decision = self.control.reject(decision.version, "the decision module failed over it")
         if isinstance(decision, Reject):
             log.error("%s", decision.reason)
         return decision
--- a/dykeshift/node/startup.py
+++ b/dykeshift/node/startup.py
@@ -17,7 +17,7 @@
 
 def load_config_with_retries(path: str) -> config.Config:
     """The configuration from its file, which may be unreadable for a moment; ConfigError if it stays so."""
-    return _retry(lambda: config.load(path), lambda error: isinstance(error, config.UnreadableError))
+    return _retry(lambda: config.load(path), lambda error: isinstance(error, config.TransientReadError))
 
 
 def new_event_loop() -> asyncio.AbstractEventLoop:
--- a/dykeshift/node/tenants.py
+++ b/dykeshift/node/tenants.py
@@ -21,20 +21,20 @@
     """
 
     names: bytes = b""
-    ends: array[int] = field(default_factory=_empty_numbers)  # of each name in the block, ascending
+    name_ends: array[int] = field(default_factory=_empty_numbers)  # of each name in the block, ascending
     numbers: array[int] = field(default_factory=_empty_numbers)  # in the settings' order, by sorted name
 
     @classmethod
-    def of(cls, names: Sequence[bytes]) -> TenantTable:
+    def from_names(cls, names: Sequence[bytes]) -> TenantTable:
         """The table of names that are given in the settings' order."""
         numbers = array("I", sorted(range(len(names)), key=names.__getitem__))
-        ends = array("I", accumulate(len(names[number]) for number in numbers))
-        return cls(b"".join([names[number] for number in numbers]), ends, numbers)
+        name_ends = array("I", accumulate(len(names[number]) for number in numbers))
+        return cls(b"".join([names[number] for number in numbers]), name_ends, numbers)
 
     def __len__(self) -> int:
         return len(self.numbers)
 
-    def number(self, name: bytes) -> int:
+    def number_of(self, name: bytes) -> int:
         """The tenant's number; that behind the last one for a name that the settings do not hold."""
         place = bisect_right(range(len(self)), name, key=self._name_at) - 1
         if place < 0 or self._name_at(place) != name:
@@ -42,5 +42,5 @@
         return self.numbers[place]
 
     def _name_at(self, place: int) -> bytes:
-        start = self.ends[place - 1] if place else 0
-        return self.names[start : self.ends[place]]
+        start = self.name_ends[place - 1] if place else 0
+        return self.names[start : self.name_ends[place]]
--- a/dykeshift/node/upstream.py
+++ b/dykeshift/node/upstream.py
@@ -11,10 +11,10 @@
 from time import monotonic
 
 from dykeshift.interface import LoadReport, Outcome, ServerState
-from dykeshift.node.address import read_address
+from dykeshift.node.address import parse_address
 from dykeshift.node.connection import Answer, Connection
 from dykeshift.node.listing import Listed
-from dykeshift.settings import load_report
+from dykeshift.settings import build_load_report
 
 FRESH = 0.8  # of the keepalive: a connection idle for longer is closed, well before the upstream does it
 SWEEP = 0.5  # seconds between two looks for such connections
@@ -49,7 +49,7 @@
         return None
     try:
         values = json.loads(text)
-        return load_report({str(k): float(v) for k, v in values.items()})
+        return build_load_report({str(k): float(v) for k, v in values.items()})
     except (ValueError, TypeError, AttributeError, RecursionError):
         return None  # a report that cannot be read says nothing; the answer still counts
 
@@ -372,7 +372,7 @@
             if connection in upstream.idle:
                 upstream.idle.remove(connection)
 
-        host, port = read_address(upstream.address)
+        host, port = parse_address(upstream.address)
         try:
             async with asyncio.timeout(self.connect_timeout):
                 _, connection = await self.loop.create_connection(
--- a/dykeshift/settings.py
+++ b/dykeshift/settings.py
@@ -8,17 +8,17 @@
 from dykeshift.interface import Idempotency, LoadReport, RequestClass, Scope, Settings
 
 
-class Malformed(Exception):
+class MalformedInputError(Exception):
     """A message that the wire does not allow; its text is for people."""
 
 
-class SettingsError(Malformed):
+class SettingsError(MalformedInputError):
     """The settings lack something or hold something impossible."""
 
 
 _IDEMPOTENCY = {"pure": Idempotency.SAFE, "token": Idempotency.KEYED, "side_effect": Idempotency.UNSAFE}
 _SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
-REPORT_FIELDS = {
+LOAD_REPORT_FIELDS = {
     "busy_reqs": "in_flight",
     "pending": "queued",
     "cpu_share": "utilization",
@@ -28,24 +28,24 @@
 }
 
 
-def need(table: dict[str, Any], key: str, path: str) -> Any:
+def require(table: dict[str, Any], key: str, path: str) -> Any:
     if not isinstance(table, dict) or key not in table:
         raise SettingsError(f"settings lack {path}{key}")
     return table[key]
 
 
-def word(table: dict[str, Any], text: Any, what: str) -> Any:
+def parse_choice(table: dict[str, Any], text: Any, what: str) -> Any:
     try:
         return table[text]
     except (KeyError, TypeError):
-        raise Malformed(f"{what} is {text!r}, expected one of {', '.join(table)}") from None
+        raise MalformedInputError(f"{what} is {text!r}, expected one of {', '.join(table)}") from None
 
 
-def read_shares(raw: Any) -> tuple[float, ...]:
-    return tuple(float(need(party, "quotaPerS", "parties[].")) for party in raw.get("parties", ()))
+def parse_tenant_shares(raw: Any) -> tuple[float, ...]:
+    return tuple(float(require(party, "quotaPerS", "parties[].")) for party in raw.get("parties", ()))
 
 
-def read_settings(text: str) -> Settings:
+def parse_settings_json(text: str) -> Settings:
     """Settings from the wire's JSON."""
     try:
         raw = json.loads(text)
@@ -59,42 +59,44 @@
 
     `shares`: those of the tenants, where they have been read apart from the rest.
     """
-    limits, rules = need(raw, "bounds", ""), need(raw, "obligations", "")
+    limits, rules = require(raw, "bounds", ""), require(raw, "obligations", "")
     try:
         worst = min(0.99, float(raw.get("goal", {}).get("worstClass", 0.0)))
         classes = tuple(
             RequestClass(
                 name=str(c.get("name", n)),
-                aim=int(need(c, "goalTimeNs", f"services[{n}].")),
-                deadline=int(need(c, "deadlineNs", f"services[{n}].")),
-                worth=float(need(c, "worth", f"services[{n}].")),
+                aim=int(require(c, "goalTimeNs", f"services[{n}].")),
+                deadline=int(require(c, "deadlineNs", f"services[{n}].")),
+                worth=float(require(c, "worth", f"services[{n}].")),
                 late_share=float(c.get("lateShare", 0.0)),
-                idempotency=word(_IDEMPOTENCY, need(c, "idempotency", f"services[{n}]."), "idempotency"),
-                scope=word(_SCOPES, c.get("group", "all"), "group"),
+                idempotency=parse_choice(
+                    _IDEMPOTENCY, require(c, "idempotency", f"services[{n}]."), "idempotency"
+                ),
+                scope=parse_choice(_SCOPES, c.get("group", "all"), "group"),
                 window=int(c.get("windowNs", 0)),
                 stream=bool(c.get("stream", False)),
             )
-            for n, c in enumerate(need(raw, "services", ""))
+            for n, c in enumerate(require(raw, "services", ""))
         )
         return Settings(
             classes=classes,
-            balancers=max(1, int(need(raw, "balancers", ""))),
+            balancers=max(1, int(require(raw, "balancers", ""))),
             zone=int(raw.get("az", 0)),
             me=int(raw.get("me", 0)),
-            ask_discovery=need(raw, "discovery", "") == "ask",
+            ask_discovery=require(raw, "discovery", "") == "ask",
             ask_every=int(rules.get("askEveryNs", 10_000_000_000)),
-            attempt_limit=max(1, int(need(limits, "maxAttempts", "bounds."))),
-            copies_allowed=bool(need(limits, "secondCopies", "bounds.")),
-            cancel_allowed=bool(need(limits, "cancelling", "bounds.")),
-            cold_share=float(need(rules, "coldFrom", "obligations.")),
-            cold_time=int(need(rules, "coldNs", "obligations.")),
-            overload_multiple=float(need(rules, "tipMultiple", "obligations.")),
-            overload_window=int(need(rules, "fallNs", "obligations.")),
-            answer_slack=int(need(rules, "answerSlackNs", "obligations.")),
+            attempt_limit=max(1, int(require(limits, "maxAttempts", "bounds."))),
+            copies_allowed=bool(require(limits, "secondCopies", "bounds.")),
+            cancel_allowed=bool(require(limits, "cancelling", "bounds.")),
+            cold_share=float(require(rules, "coldFrom", "obligations.")),
+            cold_time=int(require(rules, "coldNs", "obligations.")),
+            overload_multiple=float(require(rules, "tipMultiple", "obligations.")),
+            overload_window=int(require(rules, "fallNs", "obligations.")),
+            answer_slack=int(require(rules, "answerSlackNs", "obligations.")),
             step=int(raw.get("stepNs", 0)),
             worth_by_work=raw.get("valueBy") == "work",
             fairness=worst / (1 - worst),
-            shares=read_shares(raw) if shares is None else shares,
+            shares=parse_tenant_shares(raw) if shares is None else shares,
             over_share_worth=float(raw.get("overShareWorth", 1.0)),
             retry_advice_limit=int(limits.get("maxRetryAfterNs", 0)) if limits.get("retryAfter") else 0,
         )
@@ -102,7 +104,7 @@
         raise SettingsError(f"settings hold a value of the wrong kind: {exc}") from None
 
 
-def load_report(values: dict[str, float]) -> LoadReport | None:
+def build_load_report(values: dict[str, float]) -> LoadReport | None:
     """The figures that the module knows; others are skipped."""
-    known = {REPORT_FIELDS[name]: value for name, value in values.items() if name in REPORT_FIELDS}
+    known = {LOAD_REPORT_FIELDS[name]: value for name, value in values.items() if name in LOAD_REPORT_FIELDS}
     return LoadReport(**known) if known else None
--- a/dykeshift/settings_check.py
+++ b/dykeshift/settings_check.py
@@ -145,7 +145,7 @@
             raise SettingsError(f"{path}[{n}].name is {row['name']!r}, as is that of {path}[{first}]")
 
 
-def with_fixed(raw: Mapping[str, Any], base: Mapping[str, Any]) -> dict[str, Any]:
+def with_fixed_keys(raw: Mapping[str, Any], base: Mapping[str, Any]) -> dict[str, Any]:
     """The settings with what cannot change in service as in `base`; SettingsError if they say otherwise."""
     for key in FIXED:
         if key in raw and raw[key] != base.get(key):
@@ -161,4 +161,4 @@
         if key in raw:
             raise SettingsError(f"settings.{key} is one balancer's own and cannot be published")
     if previous is not None:
-        with_fixed(raw, previous)
+        with_fixed_keys(raw, previous)
--- a/emulator/control/agents.py
+++ b/emulator/control/agents.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from dykeshift.control import Document, DocumentError, read_document
+from dykeshift.control import Document, DocumentError, parse_document
 from dykeshift.node.call import Caller
 from emulator.control.child import report, run_child
 from emulator.control.contract import (
@@ -94,7 +94,7 @@
         answer = await caller.call(path, timeout)
         if machine not in self.reach:
             raise UnreachableError
-        document: Document = read_document(msgspec.json.decode(answer.body))
+        document: Document = parse_document(msgspec.json.decode(answer.body))
         if document.settings is not None:
             self.history.add(document.version, msgspec.json.encode(document.settings).decode())
 
--- a/emulator/control/hollow.py
+++ b/emulator/control/hollow.py
@@ -67,14 +67,14 @@
         super().__init__(base, 0, parse, seed)
         self.balancer = balancer
 
-    def applied(self, version: int) -> None:
+    def on_applied(self, version: int) -> None:
         """Say so, with the time."""
-        super().applied(version)
+        super().on_applied(version)
         report(InForce(self.balancer, version, time.monotonic_ns()))
 
-    def failed(self, version: int, reason: str) -> Reject:
+    def reject(self, version: int, reason: str) -> Reject:
         """Say so, with the reason."""
-        reject = super().failed(version, reason)
+        reject = super().reject(version, reason)
         report(TurnedDown(self.balancer, version, reject.reason))
         return reject
 
@@ -142,7 +142,7 @@
             for n in range(SERVERS)
         ]
         self._do(self.module.on_list(now, ServerList(ListKind.FULL, tuple(entries))))
-        await self.watch.wait_settled()
+        await self.watch.wait_until_up_to_date()
         report(Started(self.number, self.watch.control.version, time.monotonic_ns()))
         while self.config.requests_per_s:
             await asyncio.sleep(self.random.uniform(0.5, 1.5) / self.config.requests_per_s)
--- a/tests/emulator/test_timeline.py
+++ b/tests/emulator/test_timeline.py
@@ -112,16 +112,20 @@
     layout = build_layout(quick, 1)
     kinds = [kind.name for kind in quick.servers.kinds]
     known = msgspec.json.decode(msgspec.json.encode(known_list(layout, ADDRESSES, kinds)))
-    parsed = config.read(json.dumps(node_config(quick, layout, ADDRESSES, 5, "5a", known)))
+    parsed = config.parse(json.dumps(node_config(quick, layout, ADDRESSES, 5, "5a", known)))
     assert parsed.settings == parse_settings(node_config(quick, layout, ADDRESSES, 5, "5a")["settings"])
     assert parsed.listen == ("127.66.0.6", 8082) and parsed.discovery == ("127.65.0.6", 8500)
     assert parsed.settings.me == 5 and parsed.settings.zone == layout.balancer_zones[5]
     assert parsed.settings.cold_share == quick.cold_start.from_share
     assert len(parsed.settings.shares) == quick.tenants.count
-    assert parsed.known is not None
+    assert parsed.known_list is not None
     reader = ListReader(parsed.zones, parsed.kinds)
-    rows = [reader.convert(row) for row in parsed.known.servers]
-    assert (parsed.known.generation, parsed.known.whole, len(rows)) == (1, True, quick.servers.count)
+    rows = [reader.convert(row) for row in parsed.known_list.servers]
+    assert (parsed.known_list.generation, parsed.known_list.whole, len(rows)) == (
+        1,
+        True,
+        quick.servers.count,
+    )
     assert rows[0].address == "127.64.0.1:8081"
     assert {row.entry.zone for row in rows} == set(range(7)) and {row.entry.kind for row in rows} == {0, 1}
 
--- a/tests/node/stubs.py
+++ b/tests/node/stubs.py
@@ -15,7 +15,7 @@
 from dykeshift.node import config
 from dykeshift.node.__main__ import serve
 from dykeshift.node.listener import Listener
-from dykeshift.node.reload import Reload
+from dykeshift.node.reload import ConfigReload
 from dykeshift.node.server import Front
 from dykeshift.node.upstream import Pool
 
@@ -217,7 +217,7 @@
     registry: Registry
     address: tuple[str, int]
     given: config.Config
-    reload: Reload
+    reload: ConfigReload
 
     def move(self, registry: Registry) -> None:
         """What SIGHUP does when the file names another discovery."""
@@ -302,10 +302,10 @@
     told = told and bool(upstreams)
     if told:
         registry.put(known)
-    given = config.read(json.dumps({**configuration(registry.address, known), **changes}))
+    given = config.parse(json.dumps({**configuration(registry.address, known), **changes}))
     ready: asyncio.Future[Node] = asyncio.get_running_loop().create_future()
 
-    def started(front: Front, listener: Listener, reload: Reload) -> None:
+    def started(front: Front, listener: Listener, reload: ConfigReload) -> None:
         ready.set_result(Node(front, listener, registry, listener.address, given, reload))
 
     task = asyncio.create_task(serve(given, lambda: ready.result().given, started))
--- a/tests/node/test_failing_calls.py
+++ b/tests/node/test_failing_calls.py
@@ -133,7 +133,7 @@
         async with node() as balancer:
             balancer.reload.load = unreadable(3, errno.ENOENT, balancer.given)
             balancer.reload()
-            assert balancer.reload.again is None
+            assert balancer.reload.retry_timer is None
 
     run(main())
 
--- a/tests/node/test_listing.py
+++ b/tests/node/test_listing.py
@@ -204,9 +204,9 @@
 def read_piece_by_piece(text: str) -> dict[str, Any]:
     cursor = JsonCursor(text)
     fields = {}
-    for key in cursor.members():
-        fields[key] = list(cursor.elements()) if cursor.begins("[") else cursor.value()
-    cursor.end()
+    for key in cursor.read_keys():
+        fields[key] = list(cursor.read_elements()) if cursor.is_at("[") else cursor.read_value()
+    cursor.expect_end()
     return fields
 
 
@@ -353,38 +353,38 @@
     path.write_text(json.dumps({**raw, "settings": settings(parties=parties)}))
     objects, given = tracked_by(lambda: config.load(str(path)))
     assert objects <= count + 100
-    assert len(given.known.servers) == count
-    assert [given.tenants.number(f"t{n}".encode()) for n in range(2 * count)] == list(range(2 * count))
+    assert len(given.known_list.servers) == count
+    assert [given.tenants.number_of(f"t{n}".encode()) for n in range(2 * count)] == list(range(2 * count))
     assert given.settings.shares == tuple(n + 0.5 for n in range(2 * count))
 
 
 @pytest.mark.parametrize("known", [None, {}, [], 5, {"generation": 1, "reset": True, "instances": [{}]}])
 def test_a_configuration_holds_without_a_sound_known_list(known: Any) -> None:
     raw = json.dumps({**configuration(("127.0.0.1", 9)), "known": known, "seed": "last"})
-    given = config.read(raw)
-    assert given.known is None and given.seed == int.from_bytes(b"last", "big")
+    given = config.parse(raw)
+    assert given.known_list is None and given.seed == int.from_bytes(b"last", "big")
 
 
 def test_the_reading_of_a_configuration_goes_by_json_alone() -> None:
     """Whatever the order of its members; of those that come twice the last one holds."""
     raw = configuration(("127.0.0.1", 9), large(3))
     text = json.dumps({key: raw[key] for key in reversed(raw)}, indent=3)
-    plain = config.read(json.dumps(raw))
-    assert config.read(text) == plain
-    assert config.read(text[:-1] + ',"known":null}').known is None
+    plain = config.parse(json.dumps(raw))
+    assert config.parse(text) == plain
+    assert config.parse(text[:-1] + ',"known":null}').known_list is None
 
 
 @pytest.mark.parametrize("known", [None, {}, [], 5, large(3), {"instances": [{}], "x": [1]}])
 def test_a_configuration_that_is_read_anew_is_the_same_without_its_known_list(known: Any) -> None:
     raw = json.dumps({**configuration(("127.0.0.1", 9)), "known": known, "seed": "last"})
-    assert config.read(raw, with_known=False) == replace(config.read(raw), known=None)
+    assert config.parse(raw, with_known_list=False) == replace(config.parse(raw), known_list=None)
 
 
 @pytest.mark.parametrize("parties", [None, 5, {}, "x"])
 def test_tenants_that_are_no_list_are_no_sound_configuration(parties: Any) -> None:
     raw = configuration(("127.0.0.1", 9))
     with pytest.raises(SettingsError):
-        config.read(json.dumps({**raw, "settings": settings(parties=parties)}))
+        config.parse(json.dumps({**raw, "settings": settings(parties=parties)}))
 
 
 @pytest.mark.parametrize(
@@ -393,6 +393,6 @@
 def test_a_tenant_without_its_name_or_share_is_no_sound_configuration(party: Any) -> None:
     raw = configuration(("127.0.0.1", 9))
     with pytest.raises(SettingsError):
-        config.read(
+        config.parse(
             json.dumps({**raw, "settings": settings(parties=[{"name": "a", "quotaPerS": 1.0}, party])})
         )
--- a/tests/node/test_program.py
+++ b/tests/node/test_program.py
@@ -90,7 +90,7 @@
     ],
 )
 def test_connections_are_bounded_by_descriptors_and_memory(limits: dict[str, int], most: int) -> None:
-    assert config.read(config_text(limits=limits)).connections == most
+    assert config.parse(config_text(limits=limits)).max_connections == most
 
 
 def test_no_configuration_is_one_line_and_exit_2() -> None:
--- a/tests/node/test_settings_watch.py
+++ b/tests/node/test_settings_watch.py
@@ -99,7 +99,7 @@
 
 
 def test_a_silent_agent_holds_a_start_up_for_a_bounded_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(settings_watch, "START_WAIT", 0.05)
+    monkeypatch.setattr(settings_watch, "STARTUP_WAIT_S", 0.05)
 
     async def main() -> None:
         stub, agent = await Stub(says(answer())).start(), await started_agent()
@@ -151,8 +151,8 @@
 def test_an_agent_that_comes_back_is_heard_again_and_the_balancer_serves_meanwhile(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(control, "HOLD_MS", 50)
-    monkeypatch.setattr(settings_watch, "GRACE", 0.05)
+    monkeypatch.setattr(control, "LONG_POLL_HOLD_MS", 50)
+    monkeypatch.setattr(settings_watch, "ANSWER_GRACE_S", 0.05)
 
     async def main() -> None:
         stub, agent = await Stub(says(answer())).start(), await started_agent({"version": 0})
--- a/tests/node/test_tenants.py
+++ b/tests/node/test_tenants.py
@@ -24,20 +24,20 @@
     ],
 )
 def test_each_tenant_has_its_place_in_the_settings_as_its_number(names: list[bytes]) -> None:
-    table = TenantTable.of(names)
-    assert [table.number(name) for name in names] == list(range(len(names)))
-    assert {table.number(stranger) for stranger in (b"t", b"a\0", b"zz", b"\xff")} == {len(names)}
+    table = TenantTable.from_names(names)
+    assert [table.number_of(name) for name in names] == list(range(len(names)))
+    assert {table.number_of(stranger) for stranger in (b"t", b"a\0", b"zz", b"\xff")} == {len(names)}
 
 
 def test_of_a_name_that_comes_twice_the_last_holds() -> None:
-    table = TenantTable.of([b"a", b"b", b"a"])
-    assert (table.number(b"a"), table.number(b"b"), table.number(b"c")) == (2, 1, 3)
+    table = TenantTable.from_names([b"a", b"b", b"a"])
+    assert (table.number_of(b"a"), table.number_of(b"b"), table.number_of(b"c")) == (2, 1, 3)
 
 
 def test_a_tenant_takes_its_name_and_two_numbers() -> None:
     names = [f"tenant-{n}".encode() for n in range(LARGE)]
-    table = TenantTable.of(names)
-    held = sum(sys.getsizeof(part) for part in (table.names, table.ends, table.numbers))
+    table = TenantTable.from_names(names)
+    held = sum(sys.getsizeof(part) for part in (table.names, table.name_ends, table.numbers))
     numbers = 2 * 4 * LARGE * 17 // 16  # an array that grows has a sixteenth to spare
     assert held <= sum(map(len, names)) + numbers + 1000
 
@@ -45,6 +45,6 @@
 def test_equal_shares_are_one_object() -> None:
     raw = configuration(("127.0.0.1", 9))
     parties = [{"name": f"t{n}", "quotaPerS": 1.5 + n % 2} for n in range(100)]
-    given = config.read(json.dumps({**raw, "settings": settings(parties=parties)}))
+    given = config.parse(json.dumps({**raw, "settings": settings(parties=parties)}))
     assert given.settings.shares == (1.5, 2.5) * 50
     assert len({id(share) for share in given.settings.shares}) == 2
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -8,8 +8,8 @@
 import pytest
 
 from dykeshift.control import (
-    FIRST_PAUSE,
-    LONGEST_PAUSE,
+    FIRST_BACKOFF_S,
+    MAX_BACKOFF_S,
     Apply,
     DocumentError,
     Ignore,
@@ -35,7 +35,7 @@
     """The decision, carried out."""
     decision = control.on_document(raw)
     if isinstance(decision, Apply):
-        control.applied(decision.version)
+        control.on_applied(decision.version)
     return decision
 
 
@@ -45,7 +45,7 @@
         assert take(control, document(version)) == Ignore()
     assert take(control, document(5)) == Apply(5, settings())
     assert take(control, document(4)) == Ignore()
-    assert (control.version, control.settled()) == (5, True)
+    assert (control.version, control.is_up_to_date()) == (5, True)
 
 
 def test_a_bad_version_is_turned_down_whole_once_and_the_newest_before_it_is_wanted() -> None:
@@ -54,7 +54,7 @@
     assert isinstance(decision, Reject) and decision.reason.count("\n") == 0
     assert "version 7 is turned down, version 3 stays" in decision.reason
     assert "settings.services[0].goalTimeNs is missing" in decision.reason
-    assert control.version == 3 and not control.settled()
+    assert control.version == 3 and not control.is_up_to_date()
     assert control.next_query().path == "/v1/settings?before=7"
     assert take(control, document(6, balancers=9)) == Apply(6, settings(balancers=9))
     assert control.next_query().path == "/v1/settings?from=7&hold_ms=2000"  # not the same bad one again
@@ -68,15 +68,15 @@
     assert isinstance(take(control, document(6, balancers=0)), Reject)
     assert control.next_query().path == "/v1/settings?before=6"
     assert take(control, document(3)) == Ignore()
-    assert control.settled() and control.version == 3
+    assert control.is_up_to_date() and control.version == 3
     take(control, document(9, balancers=0))
-    assert take(control, {"version": 9}) == Ignore() and control.settled()
+    assert take(control, {"version": 9}) == Ignore() and control.is_up_to_date()
 
 
 def test_what_fails_as_it_is_put_into_force_is_turned_down_too() -> None:
     control = make_control(version=3)
     assert isinstance(control.on_document(document(4)), Apply)
-    assert control.failed(4, "two\nlines").reason.endswith("version 3 stays: two lines")
+    assert control.reject(4, "two\nlines").reason.endswith("version 3 stays: two lines")
     assert control.next_query().path == "/v1/settings?before=4"
 
 
@@ -85,18 +85,18 @@
     assert control.next_query().path == "/v1/settings?from=3&hold_ms=0"
     take(control, {"version": 3})
     assert control.next_query().path == "/v1/settings?from=3&hold_ms=2000"
-    control.on_failure()
-    assert control.next_query().path == "/v1/settings?from=3&hold_ms=0" and not control.settled()
+    control.on_call_failed()
+    assert control.next_query().path == "/v1/settings?from=3&hold_ms=0" and not control.is_up_to_date()
 
 
 def test_pauses_grow_with_jitter_and_start_anew_after_an_answer() -> None:
     control = make_control()
-    pauses = [control.on_failure() for _ in range(2000)]
-    assert FIRST_PAUSE / 2 <= pauses[0] <= FIRST_PAUSE
-    assert max(pauses) <= LONGEST_PAUSE and max(pauses) > 0.95 * LONGEST_PAUSE
-    assert min(pauses[4:]) >= LONGEST_PAUSE / 2 and len(set(pauses)) > 1900
+    pauses = [control.on_call_failed() for _ in range(2000)]
+    assert FIRST_BACKOFF_S / 2 <= pauses[0] <= FIRST_BACKOFF_S
+    assert max(pauses) <= MAX_BACKOFF_S and max(pauses) > 0.95 * MAX_BACKOFF_S
+    assert min(pauses[4:]) >= MAX_BACKOFF_S / 2 and len(set(pauses)) > 1900
     take(control, {"version": 3})
-    assert control.on_failure() <= FIRST_PAUSE
+    assert control.on_call_failed() <= FIRST_BACKOFF_S
 
 
 @pytest.mark.parametrize(
