--- a/dykeshift/benchlink.py
+++ b/dykeshift/benchlink.py
@@ -23,7 +23,7 @@
     Request,
     Send,
     ServerEntry,
-    ServerList,
+    ServerListUpdate,
     ServerState,
     SetTimer,
     Watch,
@@ -81,11 +81,11 @@
 def _encode(i: int, actions: list[Action], out: list[str]) -> None:
     for a in actions:
         if isinstance(a, Send):
-            out.append(f"PLACE\t{i}\t{a.request_id}\t{a.server}\t{a.timeout}\n")
+            out.append(f"PLACE\t{i}\t{a.request_id}\t{a.server_id}\t{a.timeout}\n")
         elif isinstance(a, SetTimer):
-            out.append(f"TIMER\t{i}\t{a.token}\t{a.at}\n")
+            out.append(f"TIMER\t{i}\t{a.token}\t{a.fire_at}\n")
         elif isinstance(a, Cancel):
-            out.append(f"WITHDRAW\t{i}\t{a.request_id}\t{a.attempt}\n")
+            out.append(f"WITHDRAW\t{i}\t{a.request_id}\t{a.attempt_index}\n")
         elif isinstance(a, Refuse):
             out.append(f"DENY\t{i}\t{a.request_id}\t{a.retry_after}\n")
         elif isinstance(a, Fail):
@@ -120,23 +120,23 @@
                 raise MalformedInputError(f"kind {parts[6]} is no class of the settings")
             request = Request(
                 id=parts[2],
-                klass=_int(parts[6]),
+                class_index=_int(parts[6]),
                 deadline=int(parts[8]),
                 cost_hint=_int(parts[7]),
-                retry=parts[5] == "1",
-                tenant=_int(parts[4]),
-                key=None if parts[9] == "-" else parts[9],
+                is_retry=parts[5] == "1",
+                tenant_index=_int(parts[4]),
+                idempotency_key=None if parts[9] == "-" else parts[9],
             )
             return self._decide(balancer.on_request, now, request)
         if name == "ANSWER":
             end = AttemptEnd(
                 request_id=parts[2],
-                attempt=int(parts[3]),
-                server=int(parts[4]),
+                attempt_index=int(parts[3]),
+                server_id=int(parts[4]),
                 outcome=parse_choice(_OUTCOMES, parts[5], "how"),
                 latency=_int(parts[6]),
-                final=parts[7] == "1",
-                report=_report(parts[8]),
+                request_closed=parts[7] == "1",
+                load_report=_report(parts[8]),
             )
             return self._decide(balancer.on_attempt_end, now, end)
         if name == "REMINDER":
@@ -154,12 +154,12 @@
                     kind=_int(p[2]),
                     state=parse_choice(_STATES, p[3], "availability"),
                     weight=1.0 if p[4] == "-" else float(p[4]),
-                    started=_int(p[6]),
+                    started_at=_int(p[6]),
                 )
                 for p in entries
             )
             return self._decide(
-                balancer.on_list, now, ServerList(parse_choice(_LIST_KINDS, parts[3], "kind"), rows)
+                balancer.on_list, now, ServerListUpdate(parse_choice(_LIST_KINDS, parts[3], "kind"), rows)
             )
         return []  # PROBE_DONE and NEIGHBOUR_SAYS: this module sends no probes and no messages
 
--- a/dykeshift/interface.py
+++ b/dykeshift/interface.py
@@ -16,7 +16,7 @@
     UNSAFE = auto()  # must never run twice
 
 
-class Scope(Enum):
+class DedupScope(Enum):
     """Which servers drop the repeats of a keyed request."""
 
     ALL = auto()
@@ -35,7 +35,7 @@
     CACHED = auto()  # the whole list as last seen before a restart, possibly stale
     DELTA = auto()  # changed entries only
     FAILED = auto()  # a call to discovery was refused or answered wrongly; the list held stays valid
-    BROKEN = auto()  # a call fell silent or broke off; the list held stays valid
+    INTERRUPTED = auto()  # a call fell silent or broke off; the list held stays valid
 
 
 class Outcome(Enum):
@@ -50,45 +50,49 @@
 
 
 # Ends that prove that nothing was executed.
-NOT_RUN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
+UNEXECUTED_OUTCOMES = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
     name: str
-    aim: int  # an answer within this earns the full worth
-    deadline: int  # what a client waits in all, over its tries
+    latency_target: int  # an answer within this earns the full worth
+    client_timeout: int  # what a client waits in all, over its tries
     worth: float
-    late_share: float  # part of the worth that an answer between aim and deadline still earns
+    late_worth_share: float  # part of the worth that an answer between aim and deadline still earns
     idempotency: Idempotency
-    scope: Scope
-    window: int  # how long repeats of a keyed request are dropped
+    dedup_scope: DedupScope
+    dedup_window: int  # how long repeats of a keyed request are dropped
     stream: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
     classes: tuple[RequestClass, ...]
-    balancers: int  # how many share this fleet
+    balancer_count: int  # how many share this fleet
     zone: int
-    ask_discovery: bool  # changes arrive only after a Watch
-    ask_every: int  # how long one may go without asking
-    attempt_limit: int
+    watch_discovery: bool  # changes arrive only after a Watch
+    max_watch_interval: int  # how long one may go without asking
+    max_attempts: int
     copies_allowed: bool  # two attempts of one request may be out at once
     cancel_allowed: bool
-    cold_share: float  # a fresh server starts at this share of its capacity or above
-    cold_time: int  # and is warm after this at the latest
+    cold_capacity_share: float  # a fresh server starts at this share of its capacity or above
+    warm_up_time: int  # and is warm after this at the latest
     overload_multiple: float  # a cold server sent more than this multiple of its present capacity
     overload_window: int  # for this long falls over
-    answer_slack: int  # a final answer may come this long after the client's deadline
-    step: int  # shortest time between two calls
-    worth_by_work: bool = False  # worth counts for each unit of work, not for each request
-    fairness: float = 0.0  # weight of the worst-served class, as a multiple of that of all requests
-    retry_advice_limit: int = 0  # longest wait that a client respects; 0: advice does not reach clients
-    shares: tuple[float, ...] = ()  # of the tenants: requests per second, over all balancers
-    tenants: Mapping[bytes, int] = field(default_factory=dict)  # their numbers, by name, where it may change
-    me: int = 0  # which of the balancers this is
-    over_share_worth: float = 1.0  # of a request beyond its tenant's share, as a part of its class's worth
+    answer_grace: int  # a final answer may come this long after the client's deadline
+    min_call_interval: int  # shortest time between two calls
+    worth_per_work_unit: bool = False  # worth counts for each unit of work, not for each request
+    worst_class_weight: float = 0.0  # weight of the worst-served class, as a multiple of that of all requests
+    max_retry_after: int = 0  # longest wait that a client respects; 0: advice does not reach clients
+    tenant_quotas_per_s: tuple[float, ...] = ()  # of the tenants: requests per second, over all balancers
+    tenant_indexes: Mapping[bytes, int] = field(
+        default_factory=dict
+    )  # their numbers, by name, where it may change
+    balancer_index: int = 0  # which of the balancers this is
+    over_quota_worth_share: float = (
+        1.0  # of a request beyond its tenant's share, as a part of its class's worth
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,19 +103,19 @@
     kind: int
     state: ServerState
     weight: float  # relative size as far as discovery tells; 1 where it does not
-    started: int  # clock time of its latest start; 0: long ago
+    started_at: int  # clock time of its latest start; 0: long ago
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
     id: str
-    klass: int
+    class_index: int
     deadline: int  # clock time at which the client gives up on this try
     cost_hint: int = 0  # expected work; 0: not told
-    retry: bool = False
-    tenant: int = 0
-    key: str | None = None
-    answer_by: int = 0  # clock time by which its final answer has to leave; 0: the deadline
+    is_retry: bool = False
+    tenant_index: int = 0
+    idempotency_key: str | None = None
+    answer_deadline: int = 0  # clock time by which its final answer has to leave; 0: the deadline
 
 
 @dataclass(frozen=True, slots=True)
@@ -129,26 +133,26 @@
 @dataclass(frozen=True, slots=True)
 class AttemptEnd:
     request_id: str
-    attempt: int
-    server: int
+    attempt_index: int
+    server_id: int
     outcome: Outcome
     latency: int
-    final: bool  # the request is closed, by this or earlier
-    report: LoadReport | None = None
+    request_closed: bool  # the request is closed, by this or earlier
+    load_report: LoadReport | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
     request_id: str
-    server: int
+    server_id: int
     timeout: int  # 0: until the client's deadline
-    begin_by: int = 0  # clock time from which it may not be begun any more; 0: any time
+    start_before: int = 0  # clock time from which it may not be begun any more; 0: any time
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
     request_id: str
-    attempt: int
+    attempt_index: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -169,7 +173,7 @@
 @dataclass(frozen=True, slots=True)
 class SetTimer:
     token: str
-    at: int
+    fire_at: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -186,6 +190,6 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerList:
+class ServerListUpdate:
     kind: ListKind
     entries: tuple[ServerEntry, ...] = field(default=())
--- a/dykeshift/node/__main__.py
+++ b/dykeshift/node/__main__.py
@@ -48,7 +48,7 @@
         ListReader(configuration.zones, configuration.kinds),
         driver.apply,
         driver.discovery_failed,
-        not configuration.settings.ask_discovery,
+        not configuration.settings.watch_discovery,
         configuration.drain_grace_s,
         lambda number: pool.listed.get(number),
     )
@@ -71,7 +71,7 @@
     driver.start()
     discovery.take_known(configuration.known_list)
     watch = start_settings_watch(configuration, SettingsApplier(driver, discovery, front))
-    if not configuration.settings.ask_discovery:
+    if not configuration.settings.watch_discovery:
         discovery.watch()
         # What the agent has counts as told since before the program was loaded: the list known from
         # before serves only if the agent has nothing to say.
@@ -92,7 +92,7 @@
         on_started(front, listener, reload)
     signalled_at = await stop.wait()
     await shut_down_gracefully(
-        front, listener, signalled_at, max((c.deadline for c in front.reader.classes), default=0) / 1e9
+        front, listener, signalled_at, max((c.client_timeout for c in front.reader.classes), default=0) / 1e9
     )
 
 
--- a/dykeshift/node/config.py
+++ b/dykeshift/node/config.py
@@ -184,7 +184,7 @@
         seed=int.from_bytes(seed.encode(), "big"),
         max_connections=max_connections(raw.get("limits", {})),
         known_list=known_list,
-        settings=replace(parse_settings(given, tuple(tenants.shares)), tenants=numbers),
+        settings=replace(parse_settings(given, tuple(tenants.shares)), tenant_indexes=numbers),
         zones=tuple(map(str, given.get("failureDomains", ()))),
         kinds=tuple(map(str, given.get("kinds", ()))),
         tenants=TenantTable.from_names(tenants.names),
--- a/dykeshift/node/discovery.py
+++ b/dykeshift/node/discovery.py
@@ -110,7 +110,7 @@
             if not self.lost:
                 log.warning("the watch is lost: %s", str(exc) or "silent")
             self.lost = True
-            failure = ListKind.FAILED if isinstance(exc, Refused) else ListKind.BROKEN
+            failure = ListKind.FAILED if isinstance(exc, Refused) else ListKind.INTERRUPTED
         finally:  # its own connection alone: after a move another watch has one of its own
             caller.close()
             self.asked.set()
--- a/dykeshift/node/driver.py
+++ b/dykeshift/node/driver.py
@@ -20,7 +20,7 @@
     Refuse,
     Request,
     Send,
-    ServerList,
+    ServerListUpdate,
     SetTimer,
     Settings,
     Watch,
@@ -128,12 +128,12 @@
         self._set_guard(job)
         request = Request(
             id=name,
-            klass=incoming.klass,
+            class_index=incoming.klass,
             deadline=deadline,
-            answer_by=answer_by,
+            answer_deadline=answer_by,
             cost_hint=incoming.cost_hint,
-            retry=incoming.retry,
-            tenant=incoming.tenant,
+            is_retry=incoming.retry,
+            tenant_index=incoming.tenant,
         )
         self._tell(self.balancer.on_request, request, job=job)
 
@@ -172,10 +172,10 @@
                 self.pool.put(one)
         else:
             self.pool.replace(listed)
-        return self._tell(self.balancer.on_list, ServerList(kind, tuple(one.entry for one in listed)))
+        return self._tell(self.balancer.on_list, ServerListUpdate(kind, tuple(one.entry for one in listed)))
 
     def discovery_failed(self, kind: ListKind) -> None:
-        self._tell(self.balancer.on_list, ServerList(kind))
+        self._tell(self.balancer.on_list, ServerListUpdate(kind))
 
     def discovery_moved(self) -> None:
         self._tell(self.balancer.on_discovery_moved)
@@ -247,7 +247,7 @@
             if isinstance(action, Send):
                 self._send(action)
             elif isinstance(action, SetTimer):
-                wait = max(0, action.at - time.monotonic_ns()) / 1e9
+                wait = max(0, action.fire_at - time.monotonic_ns()) / 1e9
                 self.loop.call_later(wait, self._timer, action.token)
             elif isinstance(action, Cancel):
                 self._cancel(action)
@@ -271,9 +271,9 @@
         until = min(job.deadline, now + action.timeout) if action.timeout else job.deadline
         if job.closed:
             until = 0  # nothing more goes out for it, yet the module gets its outcome
-        ended = partial(self._ended, job, number, action.server)
+        ended = partial(self._ended, job, number, action.server_id)
         attempt = self.pool.start(
-            action.server, job.incoming.message, until, ended, action.begin_by, job.wanted
+            action.server_id, job.incoming.message, until, ended, action.start_before, job.wanted
         )
         job.attempts.append(attempt)
         job.sent.append(now)
@@ -283,9 +283,9 @@
 
     def _cancel(self, action: Cancel) -> None:
         job = self.jobs.get(action.request_id)
-        if job is None or action.attempt >= len(job.attempts):
+        if job is None or action.attempt_index >= len(job.attempts):
             return
-        attempt = job.attempts[action.attempt]
+        attempt = job.attempts[action.attempt_index]
         if attempt is not None:
             attempt.give_up(Outcome.CANCELLED)
 
--- a/dykeshift/node/listing.py
+++ b/dykeshift/node/listing.py
@@ -163,7 +163,7 @@
             kind=self.kinds.get(row.kind, -1),
             state=row.state,
             weight=row.weight,
-            started=self.start_clock.monotonic_start_ns(row.started_ms),
+            started_at=self.start_clock.monotonic_start_ns(row.started_ms),
         )
         return Listed(entry, row.address)
 
--- a/dykeshift/node/upstream.py
+++ b/dykeshift/node/upstream.py
@@ -236,7 +236,7 @@
         upstream, one = self.upstreams.get(number), self.listed.get(number)
         if upstream is None:
             return
-        same = one is not None and (upstream.address, upstream.started) == (one.address, one.entry.started)
+        same = one is not None and (upstream.address, upstream.started) == (one.address, one.entry.started_at)
         if not same:
             del self.upstreams[number]
         upstream.open_to_new = same and one is not None and one.entry.state is ServerState.READY
@@ -250,7 +250,7 @@
         one = self.listed.get(number)
         if one is None:
             return Upstream("", 0, False)
-        made = Upstream(one.address, one.entry.started, one.entry.state is ServerState.READY)
+        made = Upstream(one.address, one.entry.started_at, one.entry.state is ServerState.READY)
         self.upstreams[number] = made
         return made
 
--- a/dykeshift/rules.py
+++ b/dykeshift/rules.py
@@ -12,9 +12,29 @@
 from dataclasses import dataclass, field, replace
 from random import Random
 
-from dykeshift.interface import NOT_RUN, Action, AttemptEnd, Cancel, Fail, Idempotency, ListKind, LoadReport
-from dykeshift.interface import Log, Outcome, Refuse, Request, RequestClass, Scope, Send, ServerEntry
-from dykeshift.interface import ServerList, ServerState, SetTimer, Settings, Watch
+from dykeshift.interface import (
+    UNEXECUTED_OUTCOMES,
+    Action,
+    AttemptEnd,
+    Cancel,
+    DedupScope,
+    Fail,
+    Idempotency,
+    ListKind,
+    LoadReport,
+    Log,
+    Outcome,
+    Refuse,
+    Request,
+    RequestClass,
+    Send,
+    ServerEntry,
+    ServerListUpdate,
+    ServerState,
+    SetTimer,
+    Settings,
+    Watch,
+)
 
 POOL_LEAST = 2  # times DRAW: the smallest part of a large fleet that one instance draws from
 STRIDE = 0.618034  # of all servers, from one instance's pool to the next one's: any few of them lie evenly
@@ -128,7 +148,7 @@
 
     def anchor(self) -> Attempt | None:
         """The first attempt that may have run: it binds where and until when a repeat may go."""
-        return next((a for a in self.attempts if a.end not in NOT_RUN), None)
+        return next((a for a in self.attempts if a.end not in UNEXECUTED_OUTCOMES), None)
 
 
 class Fleet:
@@ -145,8 +165,8 @@
 
     def group_for(self, classes: tuple[RequestClass, ...]) -> None:
         """Keep the groups that these classes need, from now on."""
-        scopes = {c.scope for c in classes if c.idempotency is Idempotency.KEYED}
-        needs = Scope.ZONE in scopes, Scope.CELL in scopes
+        scopes = {c.dedup_scope for c in classes if c.idempotency is Idempotency.KEYED}
+        needs = DedupScope.ZONE in scopes, DedupScope.CELL in scopes
         if needs == (self.needs_zones, self.needs_cells):
             return
         self.needs_zones, self.needs_cells = needs
@@ -178,7 +198,7 @@
                 self.cells.setdefault(entry.cell, []).append(entry.id)
         if not old:
             return set(self.entries)
-        return {n for n, e in self.entries.items() if n not in old or e.started > old[n].started}
+        return {n for n, e in self.entries.items() if n not in old or e.started_at > old[n].started_at}
 
     def put(self, entry: ServerEntry) -> bool:
         """Take over one changed entry; returns whether its process was not listed before."""
@@ -194,7 +214,7 @@
         listed = entry.state is not ServerState.GONE
         if listed:
             self.entries[entry.id] = entry
-        return listed and (old is None or entry.started > old.started)
+        return listed and (old is None or entry.started_at > old.started_at)
 
     def _groups(self, entry: ServerEntry) -> list[list[int]]:
         """The sorted ids among which a ready server stands."""
@@ -205,11 +225,11 @@
             groups.append(self.cells.setdefault(entry.cell, []))
         return groups
 
-    def scope(self, scope: Scope, entry: ServerEntry) -> list[int]:
+    def scope(self, scope: DedupScope, entry: ServerEntry) -> list[int]:
         """The ready servers that drop the repeats of a keyed request sent to this one."""
-        if scope is Scope.ALL:
+        if scope is DedupScope.ALL:
             return self.ready
-        groups, key = (self.zones, entry.zone) if scope is Scope.ZONE else (self.cells, entry.cell)
+        groups, key = (self.zones, entry.zone) if scope is DedupScope.ZONE else (self.cells, entry.cell)
         return groups.get(key, [])
 
     def mean_weight(self) -> float:
@@ -223,9 +243,9 @@
     """
 
     def __init__(self, settings: Settings) -> None:
-        self.numbers = settings.tenants
-        self.rates = settings.shares
-        self.balancers = settings.balancers
+        self.numbers = settings.tenant_indexes
+        self.rates = settings.tenant_quotas_per_s
+        self.balancers = settings.balancer_count
         self.unused = array("d", (self._most_unused(rate) for rate in self.rates))
         self.refilled = array("q", bytes(8 * len(self.rates)))  # clock time, by tenant
 
@@ -251,20 +271,20 @@
 
         A client's retry belongs to its first try and uses up nothing.
         """
-        tenant = request.tenant
+        tenant = request.tenant_index
         if not self.rates:
             return True
         if tenant >= len(self.rates):
             return False
         unused = self._left(now, tenant)
         within = unused >= 1
-        self.unused[tenant] = unused - (within and not request.retry)
+        self.unused[tenant] = unused - (within and not request.is_retry)
         self.refilled[tenant] = now
         return within
 
 
 def _same_process(one: ServerEntry, other: ServerEntry) -> bool:
-    return one.id == other.id and one.started == other.started
+    return one.id == other.id and one.started_at == other.started_at
 
 
 def _count(counts: dict[str, int], name: str) -> None:
@@ -289,7 +309,9 @@
         self.arrived = self.swept = self.sweeps = 0  # requests since the start, until the last sweep; sweeps
         self.arrivals = 0.0  # requests in an overload window, running mean
         self.open: dict[str, Open] = {}
-        self.usual = [c.aim * FIRST_GUESS for c in settings.classes]  # running mean of good answers' latency
+        self.usual = [
+            c.latency_target * FIRST_GUESS for c in settings.classes
+        ]  # running mean of good answers' latency
         self.least = list(self.usual)  # latency of the quickest answers: hardly a wait, on a quick server
         self.easy = EASY
         self.admit = 1.0  # part of the requests let in: falls while most answers of the whole pool are slow
@@ -313,7 +335,7 @@
     # ---- the list of servers ----
 
     def on_start(self, now: int) -> list[Action]:
-        if self.settings.ask_discovery:
+        if self.settings.watch_discovery:
             self.actions.append(Watch())
         return self.on_timer(now, "sweep")
 
@@ -325,7 +347,7 @@
         """
         known = {name: n for n, name in reversed(list(enumerate(self.class_slots)))}
         slots = [known.get(c.name) for c in settings.classes]  # by new number: the old one
-        open_classes = {item.request.klass for item in self.open.values()}
+        open_classes = {item.request.class_index for item in self.open.values()}
         slots += [n for n in sorted(open_classes) if n not in slots]
         self._renumber(slots, settings)
         self.fleet.group_for((*settings.classes, *(item.klass for item in self.open.values())))
@@ -339,7 +361,7 @@
 
     def _renumber(self, slots: list[int | None], settings: Settings) -> None:
         """Give each class its new number, in all that is kept by class; `slots` has the old ones."""
-        guess = [c.aim * FIRST_GUESS for c in settings.classes]
+        guess = [c.latency_target * FIRST_GUESS for c in settings.classes]
         self.usual = [guess[k] if n is None else self.usual[n] for k, n in enumerate(slots)]
         self.least = [guess[k] if n is None else self.least[n] for k, n in enumerate(slots)]
         self.value = [1.0 if n is None else self.value[n] for n in slots]
@@ -352,17 +374,17 @@
         for server in dict.fromkeys([*self.servers.values(), *held]):
             server.lanes = [Lane() if n is None else server.lanes[n] for n in slots]
         for item in self.open.values():
-            item.request = replace(item.request, klass=numbers[item.request.klass])
+            item.request = replace(item.request, class_index=numbers[item.request.class_index])
 
     def on_discovery_moved(self, now: int) -> list[Action]:
         """Another discovery answers from now on: asked at once, and not blamed for the old one's failures."""
         self.watch_failures = 0
-        if self.settings.ask_discovery:
+        if self.settings.watch_discovery:
             self.actions.append(Watch())
         return self._done()
 
-    def on_list(self, now: int, update: ServerList) -> list[Action]:
-        if update.kind in (ListKind.FAILED, ListKind.BROKEN):
+    def on_list(self, now: int, update: ServerListUpdate) -> list[Action]:
+        if update.kind in (ListKind.FAILED, ListKind.INTERRUPTED):
             self._retry_watch(now)
             return self._done()
         if update.kind is not ListKind.CACHED:
@@ -393,11 +415,11 @@
 
         A change counts as told 6 s after discovery had it and could be reached, whatever became of a call.
         """
-        if not self.settings.ask_discovery:
+        if not self.settings.watch_discovery:
             return
         # All may have failed together, as one queue serves them all: repeats in step would keep it full.
-        share = WATCH_SHARE * self.settings.balancers * 2**self.watch_failures
-        pause = min(self.settings.ask_every * min(share, 1.0), RENEW * 1e9)
+        share = WATCH_SHARE * self.settings.balancer_count * 2**self.watch_failures
+        pause = min(self.settings.max_watch_interval * min(share, 1.0), RENEW * 1e9)
         self.watch_failures = min(self.watch_failures + 1, 4)
         self.actions.append(SetTimer("watch", now + int(pause * (1 - RENEW_SPREAD * self.random()))))
 
@@ -408,7 +430,7 @@
         if entry is None:
             if server.entry.state is not ServerState.GONE:
                 server.entry = replace(server.entry, state=ServerState.GONE)
-        elif entry.started > server.entry.started:  # a new process: what was known is void
+        elif entry.started_at > server.entry.started_at:  # a new process: what was known is void
             del self.servers[number]
         else:
             server.entry = entry
@@ -433,7 +455,7 @@
 
     def _sharers(self) -> float:
         """How many instances draw from a server, where all see about as many requests as this one."""
-        return max(1.0, self.settings.balancers * len(self.pool) / max(1, len(self.fleet.ready)))
+        return max(1.0, self.settings.balancer_count * len(self.pool) / max(1, len(self.fleet.ready)))
 
     def _others(self) -> float:
         """Attempts of the other instances at a server, if they have as many there as this one on average."""
@@ -456,7 +478,7 @@
     def _reachable_first(self, now: int, size: int) -> list[int]:
         """That many of the ready servers from this instance's place on, unreachable ones last."""
         ready = self.fleet.ready
-        start = int(self.settings.me * STRIDE % 1 * len(ready))
+        start = int(self.settings.balancer_index * STRIDE % 1 * len(ready))
         reachable, unreachable = list[int](), list[int]()
         for i in range(len(ready)):
             if len(reachable) == size:
@@ -503,14 +525,14 @@
             return self.pool
         if len(self.fleet.entries) <= KEPT:
             return self.reach
-        group = self.fleet.scope(item.klass.scope, anchor.server.entry)
+        group = self.fleet.scope(item.klass.dedup_scope, anchor.server.entry)
         if len(group) > REPEAT_SAMPLE:
             group = sorted({group[int(self.random() * len(group))] for _ in range(REPEAT_SAMPLE)})
         return [self._meet(number) for number in group]
 
     def _hangs(self, now: int, item: Open, server: Server) -> bool:
         """Whether this class gets no answers there, whatever others get: left to the last."""
-        lane = server.lanes[item.request.klass]
+        lane = server.lanes[item.request.class_index]
         quiet = now - lane.quiet_since > HUNG * PATIENCE * self._expected(item)
         return lane.out > 0 and (lane.failures >= HUNG or quiet)
 
@@ -519,7 +541,7 @@
         quiet = now - server.quiet_since  # slow lately: others first, it would be driven into a jam
         return (
             server.pace > GOOD_SHARE
-            and quiet < item.klass.aim
+            and quiet < item.klass.latency_target
             or (server.in_flight > 0 and quiet > PATIENCE * self._expected(item))
         )
 
@@ -530,7 +552,7 @@
         if anchor is not None and not self._drops_repeats(item.klass, anchor.server.entry, server.entry):
             return False
         # Prevents a class that hangs on some servers from feeding them: one trial after each rest.
-        if now < server.lanes[item.request.klass].rest_until:
+        if now < server.lanes[item.request.class_index].rest_until:
             return False
         # Room prevents the jam in which every server holds more than it can finish in time.
         held = server.in_flight + self._left_there(now, server)
@@ -538,9 +560,9 @@
 
     def _drops_repeats(self, klass: RequestClass, first: ServerEntry, other: ServerEntry) -> bool:
         """Whether a server drops the repeat of a request that another was sent first."""
-        if klass.idempotency is not Idempotency.KEYED or klass.scope is Scope.ALL:
+        if klass.idempotency is not Idempotency.KEYED or klass.dedup_scope is DedupScope.ALL:
             return True
-        return first.zone == other.zone if klass.scope is Scope.ZONE else first.cell == other.cell
+        return first.zone == other.zone if klass.dedup_scope is DedupScope.ZONE else first.cell == other.cell
 
     def _left_there(self, now: int, server: Server) -> int:
         """Attempts that nobody waits for any more and that the server may still work on."""
@@ -549,17 +571,17 @@
 
     def _may_send(self, now: int, item: Open) -> bool:
         """Whether one more attempt breaks no rule, to a server that _allowed lets through."""
-        if item.closed or item.streaming or len(item.attempts) >= self.settings.attempt_limit:
+        if item.closed or item.streaming or len(item.attempts) >= self.settings.max_attempts:
             return False
-        end = item.request.answer_by or item.request.deadline
-        if not item.klass.late_share:
-            end = min(end, item.arrived + item.klass.aim)
+        end = item.request.answer_deadline or item.request.deadline
+        if not item.klass.late_worth_share:
+            end = min(end, item.arrived + item.klass.latency_target)
         if now >= end or (item.live and not self.settings.copies_allowed):
             return False
         anchor = item.anchor()
         if anchor is None or item.klass.idempotency is Idempotency.SAFE:
             return True
-        return item.klass.idempotency is Idempotency.KEYED and now < anchor.sent + item.klass.window
+        return item.klass.idempotency is Idempotency.KEYED and now < anchor.sent + item.klass.dedup_window
 
     # ---- idle ----
 
@@ -584,16 +606,18 @@
     # ---- copy or lone send ----
 
     def on_request(self, now: int, request: Request) -> list[Action]:
-        klass = self.settings.classes[request.klass]
+        klass = self.settings.classes[request.class_index]
         item = self.open[request.id] = Open(request, klass, now, beyond=not self.shares.take(now, request))
-        self.arrived += not request.retry  # retries would enlarge the pool, and fill every connection table
+        self.arrived += (
+            not request.is_retry
+        )  # retries would enlarge the pool, and fill every connection table
         growing = self.sweeps < 2 and len(self.pool) < len(self.fleet.ready)
         if growing and 2 * self.arrived >= MET * len(self.pool):
             self._choose_pool(now)  # many requests: a start with few servers would refuse some of them
         self.yielded *= 1 - SMOOTH
         # A jam of the whole pool: rooms of single servers learn too slowly where each is met seldom.
-        if not request.retry:
-            self.patience[request.klass] = request.deadline - now
+        if not request.is_retry:
+            self.patience[request.class_index] = request.deadline - now
         if self.crowd > 0 and self._past_aim(item):
             self._give_up(now, item, "past-aim")  # it would take the place of one that can be in time
         elif self.random() < self.admit:
@@ -607,14 +631,16 @@
 
         It waits as long as for a first try, unless that is not what is left of its time for all tries.
         """
-        usual, left = self.patience[item.request.klass], item.request.deadline - item.arrived
-        if not item.request.retry or item.klass.late_share or abs(left - usual) <= usual * TRY_SLACK:
+        usual, left = self.patience[item.request.class_index], item.request.deadline - item.arrived
+        if not item.request.is_retry or item.klass.late_worth_share or abs(left - usual) <= usual * TRY_SLACK:
             return False
-        return item.klass.deadline - left > item.klass.aim
+        return item.klass.client_timeout - left > item.klass.latency_target
 
     def _place(self, now: int, item: Open) -> None:
         """RIQ for a request that has nothing out."""
-        value = self.value[item.request.klass] * (self.settings.over_share_worth if item.beyond else 1.0)
+        value = self.value[item.request.class_index] * (
+            self.settings.over_quota_worth_share if item.beyond else 1.0
+        )
         dear = self.crowd > value and not item.attempts
         drawn = [] if dear else self._draw(now, item)
         if now == item.arrived:  # those made to wait count as well placed: low classes alone are not starved
@@ -634,7 +660,7 @@
         safe = item.klass.idempotency is Idempotency.SAFE and self.settings.copies_allowed
         empty = [s for s in idle if not s.in_flight]
         if safe and len(empty) * 2 > DRAW and self._others() < LONELY:
-            idle, copies = empty, max(1, self.settings.attempt_limit - 1 - len(item.attempts))
+            idle, copies = empty, max(1, self.settings.max_attempts - 1 - len(item.attempts))
         if self._tight(now, item):
             # Idle enough is who is done in time behind what it has of ours: a quick one rather than a slow.
             idle = sorted((s for s in drawn if s.heard), key=lambda s: s.ratio * (1 + s.in_flight))
@@ -648,11 +674,11 @@
 
     def _watch_over(self, now: int, item: Open) -> None:
         if item.klass.idempotency is not Idempotency.UNSAFE and self._may_send(now, item):
-            wait = int(max(PATIENCE * self._expected(item), WAIT_SHARE * item.klass.aim))
+            wait = int(max(PATIENCE * self._expected(item), WAIT_SHARE * item.klass.latency_target))
             self.actions.append(SetTimer("r:" + item.request.id, now + wait))
 
     def _expected(self, item: Open) -> float:
-        n, hint = item.request.klass, item.request.cost_hint
+        n, hint = item.request.class_index, item.request.cost_hint
         return self.usual[n] * (hint / self.hints[n] if hint and self.hints[n] else 1.0)
 
     def _copy_late(self, now: int, item: Open) -> None:
@@ -669,14 +695,14 @@
 
     def _send(self, now: int, item: Open, server: Server) -> None:
         bound = item.klass.idempotency is Idempotency.KEYED and item.anchor()
-        begin_by = bound.sent + item.klass.window if bound else 0  # its connection may come up later
+        begin_by = bound.sent + item.klass.dedup_window if bound else 0  # its connection may come up later
         item.attempts.append(Attempt(server, now))
         item.live += 1
         server.in_flight += 1
         if server.answered and server.in_flight == 1:
             server.quiet_since, server.answered = now, False
         server.credit -= 1
-        lane = server.lanes[item.request.klass]
+        lane = server.lanes[item.request.class_index]
         lane.out += 1
         if lane.out == 1:
             lane.quiet_since = now
@@ -686,25 +712,32 @@
     def _hold(self, now: int, item: Open) -> None:
         """Nowhere to go: look again soon, and answer before an answer stops being worth waiting for."""
         need = int(NEED * self._expected(item))  # what it will take: later than this it cannot be in time
-        until = min(item.request.deadline - self.settings.step, item.arrived + item.klass.aim - need)
+        until = min(
+            item.request.deadline - self.settings.min_call_interval,
+            item.arrived + item.klass.latency_target - need,
+        )
         if now >= until or not self._may_send(now, item):
             self._give_up(now, item, "no-room" if self._may_send(now, item) else "too-late")
             return
-        again = now + int(item.klass.aim * HOLD_SHARE)
+        again = now + int(item.klass.latency_target * HOLD_SHARE)
         self.actions.append(SetTimer("r:" + item.request.id, max(now + 1, min(again, until))))
 
     # ---- answer, cancel, retry ----
 
     def on_attempt_end(self, now: int, end: AttemptEnd) -> list[Action]:
         item = self.open.get(end.request_id)
-        if item is None or end.attempt >= len(item.attempts) or item.attempts[end.attempt].end is not None:
+        if (
+            item is None
+            or end.attempt_index >= len(item.attempts)
+            or item.attempts[end.attempt_index].end is not None
+        ):
             return []
-        attempt = item.attempts[end.attempt]
+        attempt = item.attempts[end.attempt_index]
         attempt.end = end.outcome
         self._count_end(attempt.server, f"{item.klass.name}/{end.outcome.name}", end.outcome)
         item.live -= 1
         self._learn(now, item, attempt.server, end)
-        if end.final and not item.closed:
+        if end.request_closed and not item.closed:
             self._close(item)
         elif not item.closed and not item.live:
             if self._may_send(now, item):
@@ -744,7 +777,7 @@
         """The final answer that no server gave: refused where that is true to the client, else failed."""
         _count(self.gave_up, f"{item.klass.name}/{why}")
         kind = item.klass.idempotency
-        everywhere = kind is Idempotency.KEYED and item.klass.scope is Scope.ALL
+        everywhere = kind is Idempotency.KEYED and item.klass.dedup_scope is DedupScope.ALL
         harmless = item.anchor() is None or kind is Idempotency.SAFE or everywhere
         rid = item.request.id
         self.actions.append(Refuse(rid, self._advice(now, item)) if harmless else Fail(rid))
@@ -752,18 +785,21 @@
 
     def _advice(self, now: int, item: Open) -> int:
         """When to come back: soon, while a retry can still be in time; later the fewer are let in."""
-        wait = item.klass.aim * ADVICE_SHARE / self.admit
-        late = now + self.settings.step >= item.arrived + item.klass.aim and not item.klass.late_share
+        wait = item.klass.latency_target * ADVICE_SHARE / self.admit
+        late = (
+            now + self.settings.min_call_interval >= item.arrived + item.klass.latency_target
+            and not item.klass.late_worth_share
+        )
         if late or self._past_aim(item):
             # No retry is in time any more, it would only take a server from those that are: not before
             # the time is over that the client waits for this one in all.
-            wait = item.arrived + item.klass.deadline - now
-        return int(min(wait, self.settings.retry_advice_limit))
+            wait = item.arrived + item.klass.client_timeout - now
+        return int(min(wait, self.settings.max_retry_after))
 
     # ---- health ----
 
     def _learn(self, now: int, item: Open, server: Server, end: AttemptEnd) -> None:
-        lane = server.lanes[item.request.klass]
+        lane = server.lanes[item.request.class_index]
         self._judge_lane(now, item, lane, end)
         unanswered = end.outcome in (Outcome.TIMEOUT, Outcome.CANCELLED)
         if not (unanswered and lane.failures >= HUNG and server.quiet_since > now - end.latency):
@@ -771,14 +807,14 @@
         server.in_flight -= 1
         if unanswered:  # work is heavy-tailed: what has run for so long may well run as long again
             server.left.append(now + end.latency)
-        if end.report is not None:
-            server.report, server.reported = end.report, now
+        if end.load_report is not None:
+            server.report, server.reported = end.load_report, now
         if end.outcome in ANSWERS:
             server.quiet_since, server.answered, server.refused = now, True, 0
         if end.outcome is Outcome.OK:
             server.heard = True
             server.credit += RETURNED  # it may do more than it must by now
-            n = item.request.klass
+            n = item.request.class_index
             server.ratio += PACE_SMOOTH * (min(end.latency / max(1, self.usual[n]), 4.0) - server.ratio)
             self.usual[n] += SMOOTH * (end.latency - self.usual[n])
             quicker = end.latency < self.least[n]
@@ -796,11 +832,11 @@
         elif end.outcome in (Outcome.TIMEOUT, Outcome.ERROR, Outcome.RESET):
             lane.failures += 1
             if lane.failures >= HUNG:
-                rest = item.klass.aim * 2 ** min(lane.failures - HUNG, LONGEST)
+                rest = item.klass.latency_target * 2 ** min(lane.failures - HUNG, LONGEST)
                 lane.rest_until = now + int(rest * (0.5 + self.random()))
 
     def _judge(self, now: int, item: Open, server: Server, end: AttemptEnd) -> None:
-        share = end.latency / item.klass.aim
+        share = end.latency / item.klass.latency_target
         quick = share <= GOOD_SHARE
         if end.outcome is Outcome.OK or share > server.pace:
             server.pace += PACE_SMOOTH * (min(share, 2.0) - server.pace)
@@ -809,7 +845,7 @@
             self.admit = max(LEAST_ADMIT, self.admit - ADMIT_DOWN)
         if end.outcome is Outcome.OK and quick:
             self.admit = min(1.0, self.admit + ADMIT_UP)
-            waited = end.latency > self.easy * self.least[item.request.klass]
+            waited = end.latency > self.easy * self.least[item.request.class_index]
             shown = server.used > USED * server.room or server.room < ROOM / self._sharers()
             full = server.in_flight > server.room - 1 and shown
             if full and not waited and not self._says_busy(server):
@@ -820,7 +856,7 @@
                 server.rest_until = max(server.rest_until, now + int(end.latency * (1 / server.room - 1)))
         elif not stall and end.outcome is not Outcome.NOT_SENT:
             # Errors count like lateness: quick ones would else make the server look free.
-            usual = self.usual[item.request.klass]
+            usual = self.usual[item.request.class_index]
             if now - server.cut_at >= usual:  # one slow spell shows on all attempts it held: it counts once
                 server.cut_at = now
                 server.room = max(LEAST_ROOM, server.room * CUT)
@@ -829,7 +865,9 @@
                 rest = max(rest, usual)  # its refusals come at once and would keep it the freest of all
             if end.outcome is Outcome.CONNECT_FAILED:
                 # Dead, or its connections are all taken by others: left to them, for twice as long each time.
-                rest = min(usual * 2**server.refused, item.klass.aim * 2**LONGEST) * (0.5 + self.random())
+                rest = min(usual * 2**server.refused, item.klass.latency_target * 2**LONGEST) * (
+                    0.5 + self.random()
+                )
                 server.refused = min(server.refused + 1, REFUSALS)
             # Less than one at a time: many balancers with one attempt each do not jam a server.
             server.rest_until = max(server.rest_until, now + int(rest))
@@ -839,14 +877,14 @@
     # ---- cold budget ----
 
     def _cold(self, now: int, server: Server) -> bool:
-        return server.entry.started > 0 and now < server.entry.started + self.settings.cold_time
+        return server.entry.started_at > 0 and now < server.entry.started_at + self.settings.warm_up_time
 
     def _warmth(self, now: int, server: Server) -> float:
         """Least share of its capacity that a server has by now."""
         if not self._cold(now, server):
             return 1.0
-        cold = self.settings.cold_share
-        return cold + (1 - cold) * max(0, now - server.entry.started) / self.settings.cold_time
+        cold = self.settings.cold_capacity_share
+        return cold + (1 - cold) * max(0, now - server.entry.started_at) / self.settings.warm_up_time
 
     def _cold_room(self, now: int, server: Server) -> bool:
         """Whether a cold server may be sent one more attempt: rule 4 over any number of balancers.
@@ -861,7 +899,9 @@
         """
         if not self._cold(now, server):
             return True
-        served = max(self.yielded, ROOM / self.settings.balancers)  # at least so much, or none would begin
+        served = max(
+            self.yielded, ROOM / self.settings.balancer_count
+        )  # at least so much, or none would begin
         bears = SAFETY * self.settings.overload_multiple * self._warmth(now, server) * served
         bears *= server.entry.weight / self.fleet.mean_weight() / self.pool_capacity
         server.credit += bears * (self.arrived - server.credited)
@@ -921,9 +961,9 @@
     def _weigh_classes(self) -> None:
         """Worth of each class per work; where the worst class counts much, none is worth giving up."""
         worths = [max(c.worth, 1e-9) for c in self.settings.classes]
-        costs = [1.0 if self.settings.worth_by_work else u for u in self.usual[: len(worths)]]
+        costs = [1.0 if self.settings.worth_per_work_unit else u for u in self.usual[: len(worths)]]
         per_work = [w / c * sum(costs) / sum(worths) for w, c in zip(worths, costs, strict=True)]
-        fair = self.settings.fairness * len(worths)
+        fair = self.settings.worst_class_weight * len(worths)
         self.value[: len(worths)] = [min(1.0, (v + fair) / max(per_work)) for v in per_work]
 
     def _report(self, now: int) -> None:
--- a/dykeshift/settings.py
+++ b/dykeshift/settings.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from dykeshift.interface import Idempotency, LoadReport, RequestClass, Scope, Settings
+from dykeshift.interface import DedupScope, Idempotency, LoadReport, RequestClass, Settings
 
 
 class MalformedInputError(Exception):
@@ -17,7 +17,7 @@
 
 
 _IDEMPOTENCY = {"pure": Idempotency.SAFE, "token": Idempotency.KEYED, "side_effect": Idempotency.UNSAFE}
-_SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
+_SCOPES = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL}
 LOAD_REPORT_FIELDS = {
     "busy_reqs": "in_flight",
     "pending": "queued",
@@ -65,40 +65,40 @@
         classes = tuple(
             RequestClass(
                 name=str(c.get("name", n)),
-                aim=int(require(c, "goalTimeNs", f"services[{n}].")),
-                deadline=int(require(c, "deadlineNs", f"services[{n}].")),
+                latency_target=int(require(c, "goalTimeNs", f"services[{n}].")),
+                client_timeout=int(require(c, "deadlineNs", f"services[{n}].")),
                 worth=float(require(c, "worth", f"services[{n}].")),
-                late_share=float(c.get("lateShare", 0.0)),
+                late_worth_share=float(c.get("lateShare", 0.0)),
                 idempotency=parse_choice(
                     _IDEMPOTENCY, require(c, "idempotency", f"services[{n}]."), "idempotency"
                 ),
-                scope=parse_choice(_SCOPES, c.get("group", "all"), "group"),
-                window=int(c.get("windowNs", 0)),
+                dedup_scope=parse_choice(_SCOPES, c.get("group", "all"), "group"),
+                dedup_window=int(c.get("windowNs", 0)),
                 stream=bool(c.get("stream", False)),
             )
             for n, c in enumerate(require(raw, "services", ""))
         )
         return Settings(
             classes=classes,
-            balancers=max(1, int(require(raw, "balancers", ""))),
+            balancer_count=max(1, int(require(raw, "balancers", ""))),
             zone=int(raw.get("az", 0)),
-            me=int(raw.get("me", 0)),
-            ask_discovery=require(raw, "discovery", "") == "ask",
-            ask_every=int(rules.get("askEveryNs", 10_000_000_000)),
-            attempt_limit=max(1, int(require(limits, "maxAttempts", "bounds."))),
+            balancer_index=int(raw.get("me", 0)),
+            watch_discovery=require(raw, "discovery", "") == "ask",
+            max_watch_interval=int(rules.get("askEveryNs", 10_000_000_000)),
+            max_attempts=max(1, int(require(limits, "maxAttempts", "bounds."))),
             copies_allowed=bool(require(limits, "secondCopies", "bounds.")),
             cancel_allowed=bool(require(limits, "cancelling", "bounds.")),
-            cold_share=float(require(rules, "coldFrom", "obligations.")),
-            cold_time=int(require(rules, "coldNs", "obligations.")),
+            cold_capacity_share=float(require(rules, "coldFrom", "obligations.")),
+            warm_up_time=int(require(rules, "coldNs", "obligations.")),
             overload_multiple=float(require(rules, "tipMultiple", "obligations.")),
             overload_window=int(require(rules, "fallNs", "obligations.")),
-            answer_slack=int(require(rules, "answerSlackNs", "obligations.")),
-            step=int(raw.get("stepNs", 0)),
-            worth_by_work=raw.get("valueBy") == "work",
-            fairness=worst / (1 - worst),
-            shares=parse_tenant_shares(raw) if shares is None else shares,
-            over_share_worth=float(raw.get("overShareWorth", 1.0)),
-            retry_advice_limit=int(limits.get("maxRetryAfterNs", 0)) if limits.get("retryAfter") else 0,
+            answer_grace=int(require(rules, "answerSlackNs", "obligations.")),
+            min_call_interval=int(raw.get("stepNs", 0)),
+            worth_per_work_unit=raw.get("valueBy") == "work",
+            worst_class_weight=worst / (1 - worst),
+            tenant_quotas_per_s=parse_tenant_shares(raw) if shares is None else shares,
+            over_quota_worth_share=float(raw.get("overShareWorth", 1.0)),
+            max_retry_after=int(limits.get("maxRetryAfterNs", 0)) if limits.get("retryAfter") else 0,
         )
     except (TypeError, ValueError, AttributeError) as exc:
         raise SettingsError(f"settings hold a value of the wrong kind: {exc}") from None
--- a/emulator/control/hollow.py
+++ b/emulator/control/hollow.py
@@ -27,7 +27,7 @@
     Request,
     Send,
     ServerEntry,
-    ServerList,
+    ServerListUpdate,
     ServerState,
     SetTimer,
     Settings,
@@ -57,7 +57,7 @@
 def parse(raw: dict[str, Any]) -> Settings:
     """The settings with the names of their tenants, as a balancer reads them."""
     numbers = {party["name"].encode(): n for n, party in enumerate(raw["parties"])}
-    return replace(parse_settings(raw), tenants=numbers)
+    return replace(parse_settings(raw), tenant_indexes=numbers)
 
 
 class ReportingControl(SettingsControl[Settings]):
@@ -138,10 +138,10 @@
         now = time.monotonic_ns()
         self._do(self.module.on_start(now))
         entries = [
-            ServerEntry(id=n, zone=0, cell=0, kind=0, state=ServerState.READY, weight=1.0, started=0)
+            ServerEntry(id=n, zone=0, cell=0, kind=0, state=ServerState.READY, weight=1.0, started_at=0)
             for n in range(SERVERS)
         ]
-        self._do(self.module.on_list(now, ServerList(ListKind.FULL, tuple(entries))))
+        self._do(self.module.on_list(now, ServerListUpdate(ListKind.FULL, tuple(entries))))
         await self.watch.wait_until_up_to_date()
         report(Started(self.number, self.watch.control.version, time.monotonic_ns()))
         while self.config.requests_per_s:
@@ -159,8 +159,8 @@
         number = self.random.randrange(len(classes))
         name, now = f"{self.number}/{self.count}", time.monotonic_ns()
         self.open[name] = OpenRequest(classes[number].idempotency is Idempotency.UNSAFE, now)
-        tenant = self.random.randrange(len(self.module.settings.shares) + 1)
-        request = Request(name, number, now + classes[number].deadline, tenant=tenant)
+        tenant = self.random.randrange(len(self.module.settings.tenant_quotas_per_s) + 1)
+        request = Request(name, number, now + classes[number].client_timeout, tenant_index=tenant)
         self._do(self.module.on_request(now, request))
 
     def _do(self, actions: list[Action]) -> None:
@@ -168,10 +168,10 @@
             if isinstance(action, Send):
                 self._send(action)
             elif isinstance(action, SetTimer):
-                wait = (action.at - time.monotonic_ns()) / 1e9
+                wait = (action.fire_at - time.monotonic_ns()) / 1e9
                 self.loop.call_later(max(0.0, wait), self._timer, action.token)
             elif isinstance(action, Cancel):
-                self.loop.call_soon(self._end, action.request_id, action.attempt, Outcome.CANCELLED)
+                self.loop.call_soon(self._end, action.request_id, action.attempt_index, Outcome.CANCELLED)
             elif isinstance(action, Refuse):
                 self.totals.refused += 1
                 self._report_failed(action.request_id, "refused")
@@ -196,7 +196,7 @@
         request = self.open[action.request_id]
         self.totals.repeated += request.unsafe and bool(request.servers)
         attempt = len(request.servers)
-        request.servers.append(action.server)
+        request.servers.append(action.server_id)
         request.sent.append(time.monotonic_ns())
         self.loop.call_later(SERVICE_TIME, self._end, action.request_id, attempt, Outcome.OK)
 
@@ -253,7 +253,7 @@
         for balancer in self.balancers.values():
             balancer.stop()
         longest = max(
-            (c.deadline for b in self.balancers.values() for c in b.module.settings.classes), default=0
+            (c.client_timeout for b in self.balancers.values() for c in b.module.settings.classes), default=0
         )
         until = asyncio.get_running_loop().time() + longest / 1e9
         while asyncio.get_running_loop().time() < until and self.request_totals().lost:
--- a/emulator/fleet/hollow.py
+++ b/emulator/fleet/hollow.py
@@ -25,7 +25,7 @@
     Request,
     Send,
     ServerEntry,
-    ServerList,
+    ServerListUpdate,
     ServerState,
     SetTimer,
     Settings,
@@ -163,10 +163,10 @@
         self.effects.add_deadline(deadline, partial(self._expire, open_try))
         request = Request(
             id=name,
-            klass=client_try.request.class_number,
+            class_index=client_try.request.class_number,
             deadline=deadline,
-            retry=client_try.marked_retry,
-            tenant=client_try.request.tenant,
+            is_retry=client_try.marked_retry,
+            tenant_index=client_try.request.tenant,
         )
         self._tell(now, self._module.on_request, request)
         return name
@@ -190,11 +190,11 @@
                 self._servers[one.entry.id] = one.number
             else:
                 self._servers.pop(one.entry.id, None)
-        self._tell(now, self._module.on_list, ServerList(kind, tuple(one.entry for one in listed)))
+        self._tell(now, self._module.on_list, ServerListUpdate(kind, tuple(one.entry for one in listed)))
 
     def discovery_failed(self, now: int, kind: ListKind) -> None:
         """A call to discovery was refused or broke off."""
-        self._tell(now, self._module.on_list, ServerList(kind))
+        self._tell(now, self._module.on_list, ServerListUpdate(kind))
 
     def attempt_ended(
         self,
@@ -218,12 +218,12 @@
             self.effects.answered(now, open_try.client_try, TryEnd.SERVED, own_us, 0)
         end = AttemptEnd(
             request_id=open_try.name,
-            attempt=attempt.index,
-            server=attempt.server_id,
+            attempt_index=attempt.index,
+            server_id=attempt.server_id,
             outcome=outcome,
             latency=now - attempt.sent,
-            final=open_try.closed,
-            report=report,
+            request_closed=open_try.closed,
+            load_report=report,
         )
         self._tell(now, self._module.on_attempt_end, end)
         self._forget(open_try)
@@ -251,7 +251,7 @@
         if isinstance(action, Send):
             self._send(now, action)
         elif isinstance(action, SetTimer):
-            self.effects.add_deadline(action.at, partial(self._timer, action.token))
+            self.effects.add_deadline(action.fire_at, partial(self._timer, action.token))
         elif isinstance(action, Cancel):
             self._cancel(now, action)
         elif isinstance(action, Refuse):
@@ -267,13 +267,13 @@
     def _send(self, now: int, action: Send) -> None:
         open_try = self._open[action.request_id]
         until = min(open_try.deadline, now + action.timeout) if action.timeout else open_try.deadline
-        server = self._servers.get(action.server)
+        server = self._servers.get(action.server_id)
         attempt = HollowAttempt(
-            self, open_try, len(open_try.attempts), action.server, -1 if server is None else server, now
+            self, open_try, len(open_try.attempts), action.server_id, -1 if server is None else server, now
         )
         open_try.attempts.append(attempt)
         open_try.out += 1
-        begun_too_late = 0 < action.begin_by <= now
+        begun_too_late = 0 < action.start_before <= now
         if server is None or open_try.closed or until <= now or begun_too_late:
             self.counts.not_sent += 1
             self.effects.add_deadline(now, partial(self._end_without_answer, attempt, Outcome.NOT_SENT))
@@ -285,9 +285,9 @@
 
     def _cancel(self, now: int, action: Cancel) -> None:
         open_try = self._open.get(action.request_id)
-        if open_try is None or action.attempt >= len(open_try.attempts):
+        if open_try is None or action.attempt_index >= len(open_try.attempts):
             return
-        attempt = open_try.attempts[action.attempt]
+        attempt = open_try.attempts[action.attempt_index]
         if attempt is not None:
             self.counts.cancels += 1
             self.effects.withdraw(attempt)
--- a/emulator/fleet/hollow_host.py
+++ b/emulator/fleet/hollow_host.py
@@ -79,7 +79,7 @@
             self._agent,
             self.shared.zones,
             self.shared.kinds,
-            not self._settings.ask_discovery,
+            not self._settings.watch_discovery,
             self.shared.drain_grace_s,
             partial(self._list_came, balancer),
             balancer.discovery_failed,
--- a/emulator/fleet/hollow_worker.py
+++ b/emulator/fleet/hollow_worker.py
@@ -70,7 +70,7 @@
                 number,
                 layout.balancer_zones[number],
                 config.addresses.agent(number),
-                replace(settings, me=number, zone=layout.balancer_zones[number]),
+                replace(settings, balancer_index=number, zone=layout.balancer_zones[number]),
                 requests_per_s_of(scenario, layout, number),
                 Random(f"{config.seed}/hollow balancer {number}"),
             )
@@ -191,7 +191,7 @@
 
 def _split_quotas(settings: Settings, scenario: Scenario) -> list[float]:
     """Each balancer's equal part of the quotas of the tenants that are followed, by rank; 0 where none."""
-    quotas = [share / scenario.balancers.total for share in settings.shares[:TENANTS_FOLLOWED]]
+    quotas = [share / scenario.balancers.total for share in settings.tenant_quotas_per_s[:TENANTS_FOLLOWED]]
     return quotas + [0.0] * (followed_tenants(scenario) - len(quotas))
 
 
--- a/emulator/slopes/deployment.py
+++ b/emulator/slopes/deployment.py
@@ -108,7 +108,7 @@
         kind=number % len(MACHINE_TYPES),
         state=state,
         weight=1.0,
-        started=0,
+        started_at=0,
     )
 
 
--- a/emulator/slopes/module_host.py
+++ b/emulator/slopes/module_host.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from dykeshift.interface import Action, AttemptEnd, ListKind, Log, Outcome, Request, Send
-from dykeshift.interface import ServerList, ServerState, SetTimer
+from dykeshift.interface import ServerListUpdate, ServerState, SetTimer
 from dykeshift.rules import Balancer
 from dykeshift.settings import parse_settings
 from emulator.slopes.deployment import CLIENT_PATIENCE_MS, MILLISECOND, SECOND, server_entry, settings_object
@@ -31,7 +31,7 @@
         self.longest_timer = 0  # nanoseconds of processor time in one timer's call
         self.attempts: dict[int, int] = {}  # by server
         self._take(self.balancer.on_start(self.now))
-        self.whole = ServerList(ListKind.FULL, tuple(server_entry(n) for n in range(scale.servers)))
+        self.whole = ServerListUpdate(ListKind.FULL, tuple(server_entry(n) for n in range(scale.servers)))
 
     def load_list(self) -> None:
         """Tell the whole list of servers."""
@@ -40,7 +40,7 @@
     def change_one(self, state: ServerState) -> None:
         """Tell that one server is in a new state."""
         changed = server_entry(self.scale.servers // 2, state)
-        self._take(self.balancer.on_list(self.now, ServerList(ListKind.DELTA, (changed,))))
+        self._take(self.balancer.on_list(self.now, ServerListUpdate(ListKind.DELTA, (changed,))))
 
     def serve(self, requests: int) -> None:
         """Play requests at the scale's rate, one after another, each answered before the next."""
@@ -55,16 +55,16 @@
         name = f"r{self.requests}"
         request = Request(
             id=name,
-            klass=self.random.randrange(self.scale.services),
+            class_index=self.random.randrange(self.scale.services),
             deadline=self.now + CLIENT_PATIENCE_MS * MILLISECOND,
-            tenant=self.random.randrange(self.scale.tenants),
+            tenant_index=self.random.randrange(self.scale.tenants),
         )
         sends = [a for a in self._take(self.balancer.on_request(self.now, request)) if isinstance(a, Send)]
         self.now += SERVICE_TIME
         for number, send in enumerate(sends):
-            self.attempts[send.server] = self.attempts.get(send.server, 0) + 1
+            self.attempts[send.server_id] = self.attempts.get(send.server_id, 0) + 1
             outcome = Outcome.CANCELLED if number else Outcome.OK
-            end = AttemptEnd(name, number, send.server, outcome, SERVICE_TIME, True)
+            end = AttemptEnd(name, number, send.server_id, outcome, SERVICE_TIME, True)
             self._take(self.balancer.on_attempt_end(self.now, end))
 
     def advance(self, until: int) -> None:
@@ -82,7 +82,7 @@
         for action in actions:
             if isinstance(action, SetTimer):
                 self.timers_set += 1
-                heapq.heappush(self.timers, (action.at, action.token))
+                heapq.heappush(self.timers, (action.fire_at, action.token))
             elif isinstance(action, Log):
                 self.log_bytes += len(action.text) + 1
         return actions
--- a/tests/emulator/fleet_fakes.py
+++ b/tests/emulator/fleet_fakes.py
@@ -208,7 +208,7 @@
 def make_balancer(scenario: Scenario, effects: FakeEffects, servers: int = 12) -> HollowBalancer:
     """A started balancer with a list of ready servers."""
     layout = build_layout(scenario, 1)
-    settings = replace(parse_settings(settings_object(scenario, layout, 0)), balancers=1)
+    settings = replace(parse_settings(settings_object(scenario, layout, 0)), balancer_count=1)
     balancer = HollowBalancer(settings, 1, effects)
     balancer.start(effects.now)
     balancer.apply_list(effects.now, ListKind.FULL, [listed(number) for number in range(servers)])
--- a/tests/emulator/test_fleet_hollow.py
+++ b/tests/emulator/test_fleet_hollow.py
@@ -119,7 +119,7 @@
     balancer.submit(effects.now, make_model(scenario).first_try(0, effects.now))
     effects.run_for(S)
     assert [answer.end for answer in effects.answers] == [TryEnd.SERVED]
-    assert [(end.outcome, end.final) for end in module.ends] == [(Outcome.OK, True)] * 2
+    assert [(end.outcome, end.request_closed) for end in module.ends] == [(Outcome.OK, True)] * 2
 
 
 def test_what_is_sent_to_a_server_not_on_the_list_ends_as_not_sent(
@@ -132,7 +132,7 @@
     balancer.submit(effects.now, make_model(scenario).first_try(0, effects.now))
     effects.run_for(5 * MS)
     assert not effects.sent
-    assert [(end.outcome, end.final) for end in module.ends] == [(Outcome.NOT_SENT, False)] * 2
+    assert [(end.outcome, end.request_closed) for end in module.ends] == [(Outcome.NOT_SENT, False)] * 2
 
 
 def test_a_stopped_balancer_returns_its_open_tries_and_stays_silent(scenario: Scenario) -> None:
--- a/tests/emulator/test_standins.py
+++ b/tests/emulator/test_standins.py
@@ -321,10 +321,10 @@
             assert drained.entry.id == whole[5].entry.id and drained.entry.state is ServerState.DRAINING
             assert clock.now_s() < 0.45
             left, replacement = await told.heard(3)
-            assert clock.now_s() > 2.9 and told.failures[0] is ListKind.BROKEN
+            assert clock.now_s() > 2.9 and told.failures[0] is ListKind.INTERRUPTED
             assert left.entry.state is ServerState.GONE and left.entry.id == drained.entry.id
             assert replacement.entry.state is ServerState.READY and replacement.entry.id != left.entry.id
-            assert abs(time.monotonic_ns() - replacement.entry.started - 2.0e9) < 0.3e9
+            assert abs(time.monotonic_ns() - replacement.entry.started_at - 2.0e9) < 0.3e9
             await told.acknowledged(part, 3)
             summary = part.hollow.total.summary(part.hollow.pending)
             assert (summary.acknowledged, summary.pending) == (3, 0)
--- a/tests/emulator/test_timeline.py
+++ b/tests/emulator/test_timeline.py
@@ -115,9 +115,9 @@
     parsed = config.parse(json.dumps(node_config(quick, layout, ADDRESSES, 5, "5a", known)))
     assert parsed.settings == parse_settings(node_config(quick, layout, ADDRESSES, 5, "5a")["settings"])
     assert parsed.listen == ("127.66.0.6", 8082) and parsed.discovery == ("127.65.0.6", 8500)
-    assert parsed.settings.me == 5 and parsed.settings.zone == layout.balancer_zones[5]
-    assert parsed.settings.cold_share == quick.cold_start.from_share
-    assert len(parsed.settings.shares) == quick.tenants.count
+    assert parsed.settings.balancer_index == 5 and parsed.settings.zone == layout.balancer_zones[5]
+    assert parsed.settings.cold_capacity_share == quick.cold_start.from_share
+    assert len(parsed.settings.tenant_quotas_per_s) == quick.tenants.count
     assert parsed.known_list is not None
     reader = ListReader(parsed.zones, parsed.kinds)
     rows = [reader.convert(row) for row in parsed.known_list.servers]
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -6,10 +6,11 @@
 
 from dykeshift.rules import Balancer
 from dykeshift.interface import (
-    NOT_RUN,
+    UNEXECUTED_OUTCOMES,
     Action,
     AttemptEnd,
     Cancel,
+    DedupScope,
     Fail,
     Idempotency,
     ListKind,
@@ -18,10 +19,9 @@
     Refuse,
     Request,
     RequestClass,
-    Scope,
     Send,
     ServerEntry,
-    ServerList,
+    ServerListUpdate,
     ServerState,
     SetTimer,
     Settings,
@@ -31,30 +31,30 @@
 MS = 1_000_000
 S = 1000 * MS
 
-SAFE = RequestClass("read", 200 * MS, 500 * MS, 2.0, 0.0, Idempotency.SAFE, Scope.ALL, 0)
-KEYED_CELL = RequestClass("put", 400 * MS, 800 * MS, 3.0, 0.25, Idempotency.KEYED, Scope.CELL, 300 * MS)
-UNSAFE = RequestClass("post", 400 * MS, 1500 * MS, 5.0, 0.2, Idempotency.UNSAFE, Scope.ALL, 0)
-KEYED_ALL = RequestClass("set", 400 * MS, 800 * MS, 3.0, 0.25, Idempotency.KEYED, Scope.ALL, 300 * MS)
-KEYED_ZONE = RequestClass("zset", 400 * MS, 800 * MS, 3.0, 0.25, Idempotency.KEYED, Scope.ZONE, 300 * MS)
+SAFE = RequestClass("read", 200 * MS, 500 * MS, 2.0, 0.0, Idempotency.SAFE, DedupScope.ALL, 0)
+KEYED_CELL = RequestClass("put", 400 * MS, 800 * MS, 3.0, 0.25, Idempotency.KEYED, DedupScope.CELL, 300 * MS)
+UNSAFE = RequestClass("post", 400 * MS, 1500 * MS, 5.0, 0.2, Idempotency.UNSAFE, DedupScope.ALL, 0)
+KEYED_ALL = RequestClass("set", 400 * MS, 800 * MS, 3.0, 0.25, Idempotency.KEYED, DedupScope.ALL, 300 * MS)
+KEYED_ZONE = RequestClass("zset", 400 * MS, 800 * MS, 3.0, 0.25, Idempotency.KEYED, DedupScope.ZONE, 300 * MS)
 CLASSES = (SAFE, KEYED_CELL, UNSAFE, KEYED_ALL, KEYED_ZONE)
 
 
 def make_settings(**changes: object) -> Settings:
     values: dict[str, object] = {
         "classes": CLASSES,
-        "balancers": 4,
+        "balancer_count": 4,
         "zone": 0,
-        "ask_discovery": False,
-        "ask_every": 10 * S,
-        "attempt_limit": 3,
+        "watch_discovery": False,
+        "max_watch_interval": 10 * S,
+        "max_attempts": 3,
         "copies_allowed": True,
         "cancel_allowed": True,
-        "cold_share": 0.12,
-        "cold_time": 24 * S,
+        "cold_capacity_share": 0.12,
+        "warm_up_time": 24 * S,
         "overload_multiple": 2.5,
         "overload_window": 1500 * MS,
-        "answer_slack": 20 * MS,
-        "step": 5 * MS,
+        "answer_grace": 20 * MS,
+        "min_call_interval": 5 * MS,
     }
     values.update(changes)
     return Settings(**values)  # type: ignore[arg-type]
@@ -68,7 +68,7 @@
         kind=kw.get("kind", 0),
         state=state,
         weight=1.0,
-        started=started,
+        started_at=started,
     )
 
 
@@ -110,23 +110,25 @@
                     self.check_refuse(seen)
                 seen.final = type(a).__name__
             elif isinstance(a, Cancel):
-                assert a.attempt < len(self.requests[a.request_id].servers), "cancelled what was never sent"
+                assert a.attempt_index < len(
+                    self.requests[a.request_id].servers
+                ), "cancelled what was never sent"
             elif isinstance(a, SetTimer):
-                assert a.at > self.now and " " not in a.token and len(a.token) <= 64
-                self.timers.append((a.at, a.token))
+                assert a.fire_at > self.now and " " not in a.token and len(a.token) <= 64
+                self.timers.append((a.fire_at, a.token))
             elif isinstance(a, Watch):
                 self.watches += 1
         return actions
 
     @staticmethod
     def anchor(seen: Seen) -> int | None:
-        return next((n for n, end in enumerate(seen.ends) if end not in NOT_RUN), None)
+        return next((n for n, end in enumerate(seen.ends) if end not in UNEXECUTED_OUTCOMES), None)
 
     def check_send(self, a: Send) -> None:
-        seen, e = self.requests[a.request_id], self.list.get(a.server)
+        seen, e = self.requests[a.request_id], self.list.get(a.server_id)
         assert not seen.final, "sent after the final answer"
         assert self.now < seen.request.deadline
-        assert len(seen.servers) < self.settings.attempt_limit
+        assert len(seen.servers) < self.settings.max_attempts
         assert e is not None and e.state is ServerState.READY, "sent to a draining or gone server"
         assert a.timeout >= 0
         if None in seen.ends:
@@ -136,12 +138,12 @@
             kind, old = seen.klass.idempotency, self.list.get(seen.servers[first])
             assert kind is not Idempotency.UNSAFE, "an unsafe request was sent twice"
             if kind is Idempotency.KEYED:
-                assert self.now < seen.sent[first] + seen.klass.window
-                if seen.klass.scope is Scope.CELL:
+                assert self.now < seen.sent[first] + seen.klass.dedup_window
+                if seen.klass.dedup_scope is DedupScope.CELL:
                     assert old is None or old.cell == e.cell
-                if seen.klass.scope is Scope.ZONE:
+                if seen.klass.dedup_scope is DedupScope.ZONE:
                     assert old is None or old.zone == e.zone
-        seen.servers.append(a.server)
+        seen.servers.append(a.server_id)
         seen.sent.append(self.now)
         seen.ends.append(None)
 
@@ -150,7 +152,7 @@
         if ran and kind is Idempotency.UNSAFE:
             raise AssertionError("refused an unsafe request that may have run")
         if ran and kind is Idempotency.KEYED:
-            assert seen.klass.scope is Scope.ALL, "refused a keyed request that may have run"
+            assert seen.klass.dedup_scope is DedupScope.ALL, "refused a keyed request that may have run"
 
     # -- what happens to it --
 
@@ -158,7 +160,11 @@
         self.count += 1
         rid, k = f"q{self.count}", self.settings.classes[klass]
         request = Request(
-            id=rid, klass=klass, deadline=self.now + (patience or k.deadline), cost_hint=hint, tenant=tenant
+            id=rid,
+            class_index=klass,
+            deadline=self.now + (patience or k.client_timeout),
+            cost_hint=hint,
+            tenant_index=tenant,
         )
         self.requests[rid] = Seen(request, k)
         self.play(self.balancer.on_request(self.now, request))
@@ -200,7 +206,7 @@
             self.list = {}
         for e in entries:
             self.list[e.id] = e
-        self.play(self.balancer.on_list(self.now, ServerList(kind, tuple(entries))))
+        self.play(self.balancer.on_list(self.now, ServerListUpdate(kind, tuple(entries))))
 
     def out(self) -> list[tuple[str, int]]:
         return [(r, n) for r, s in self.requests.items() for n, end in enumerate(s.ends) if end is None]
@@ -226,12 +232,12 @@
 
     def check_answers(self) -> None:
         for rid, seen in self.requests.items():
-            last = seen.request.deadline + self.settings.answer_slack
+            last = seen.request.deadline + self.settings.answer_grace
             assert seen.final or self.now <= last, f"{rid} is overdue"
 
     def settle(self) -> None:
         """All attempts come back and all clients are answered; nothing may be left behind."""
-        self.advance(max(k.deadline for k in self.settings.classes) + S)
+        self.advance(max(k.client_timeout for k in self.settings.classes) + S)
         for rid, n in self.out():
             self.end(rid, n, Outcome.CANCELLED)
         assert all(s.final for s in self.requests.values())
--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from dykeshift.interface import Action, ListKind, ServerList, ServerState
+from dykeshift.interface import Action, ListKind, ServerListUpdate, ServerState
 from dykeshift.node import discovery as discovery_module
 from dykeshift.node.connection import Connection
 from dykeshift.node.discovery import GRACE, HOLD_MS, PUSH_GRACE, PUSH_RETRY
@@ -33,13 +33,13 @@
 )
 
 
-def listen(balancer: Node) -> list[ServerList]:
+def listen(balancer: Node) -> list[ServerListUpdate]:
     """All lists that reach the module from here on."""
-    heard: list[ServerList] = []
+    heard: list[ServerListUpdate] = []
     module = balancer.front.driver.balancer
     told = module.on_list
 
-    def on_list(now: int, update: ServerList) -> list[Action]:
+    def on_list(now: int, update: ServerListUpdate) -> list[Action]:
         heard.append(update)
         return told(now, update)
 
@@ -142,7 +142,7 @@
                 answer(b"", "404 Not Found"),
             )
         ),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n", ListKind.BROKEN),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n", ListKind.INTERRUPTED),
     ],
 )
 def test_a_broken_update_is_dropped_told_as_failed_and_asked_for_again(reply: bytes, kind: ListKind) -> None:
@@ -171,7 +171,7 @@
             module = balancer.front.driver.balancer
             sound = module.on_list
 
-            def faulty(now: int, update: ServerList) -> list[Action]:
+            def faulty(now: int, update: ServerListUpdate) -> list[Action]:
                 module.on_list = sound  # type: ignore[method-assign]
                 raise RuntimeError("planted")
 
@@ -388,7 +388,7 @@
             began = time.monotonic()
             await until(lambda: len(balancer.registry.paths) == 2)  # the first got no answer at all
             assert time.monotonic() - began < 10
-            assert [update.kind for update in heard] == [ListKind.BROKEN]
+            assert [update.kind for update in heard] == [ListKind.INTERRUPTED]
             hold = int(balancer.registry.paths[0].partition("hold_ms=")[2])
             assert hold / 1000 + GRACE <= 4.0  # what there is to tell counts as told soon after
 
@@ -436,9 +436,9 @@
         instance("s1", ("127.0.0.1", 2), "left"),
     )
     rows = [reader.convert(read_row(row)) for row in (first, second)]
-    age = time.monotonic_ns() - rows[0].entry.started
+    age = time.monotonic_ns() - rows[0].entry.started_at
     assert 2_900_000_000 < age < 60_000_000_000
-    assert rows[1].entry.started == 0 and rows[1].entry.state is ServerState.GONE
+    assert rows[1].entry.started_at == 0 and rows[1].entry.state is ServerState.GONE
     again = reader.convert(read_row(first))
     assert again.entry == rows[0].entry  # no restart where there was none
 
--- a/tests/node/test_listing.py
+++ b/tests/node/test_listing.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from dykeshift.interface import Action, ListKind, ServerList
+from dykeshift.interface import Action, ListKind, ServerListUpdate
 from dykeshift.node import config
 from dykeshift.node.json_cursor import JsonCursor
 from dykeshift.node.listing import ROWS_PER_TURN, Listed, ListReader, Row, number_of, read_rows
@@ -70,12 +70,12 @@
     return reader
 
 
-def told_to_the_module(balancer: Node) -> list[ServerList]:
-    told: list[ServerList] = []
+def told_to_the_module(balancer: Node) -> list[ServerListUpdate]:
+    told: list[ServerListUpdate] = []
     module = balancer.front.driver.balancer
     sound = module.on_list
 
-    def on_list(now: int, update: ServerList) -> list[Action]:
+    def on_list(now: int, update: ServerListUpdate) -> list[Action]:
         told.append(update)
         return sound(now, update)
 
--- a/tests/node/test_server.py
+++ b/tests/node/test_server.py
@@ -207,14 +207,17 @@
             decide = module.on_request
 
             def on_request(now: int, request: Request) -> list[Action]:
-                told.append(request.tenant)
+                told.append(request.tenant_index)
                 return decide(now, request)
 
             module.on_request = on_request  # type: ignore[method-assign]
             for n, tenant in enumerate(["globex", "acme", "stranger"]):
                 assert status(await balancer.ask(request(rid=f"r{n}", X_Tenant=tenant))) == 200
             assert told == [1, 0, 2]
-            assert (module.settings.shares, module.settings.over_share_worth) == ((50.0, 25.0), 0.2)
+            assert (module.settings.tenant_quotas_per_s, module.settings.over_quota_worth_share) == (
+                (50.0, 25.0),
+                0.2,
+            )
 
     run(main())
 
@@ -477,9 +480,9 @@
                 assert status(await balancer.ask(request("check", rid=f"c{n}"))) == 200
             await until(lambda: not balancer.front.driver.jobs)
             cancelled = [e for e in ends if e.outcome is Outcome.CANCELLED]
-            assert cancelled and all(e.final for e in cancelled)
+            assert cancelled and all(e.request_closed for e in cancelled)
             # Those at the one that never answered have seen their connections close.
-            there = [e for e in cancelled if e.server == number_of("s0")]
+            there = [e for e in cancelled if e.server_id == number_of("s0")]
             assert there
             await until(lambda: stubs[0].lost >= len(there))
             assert all(s.in_flight == 0 for s in balancer.front.driver.balancer.servers.values())
--- a/tests/node/test_standing_terms.py
+++ b/tests/node/test_standing_terms.py
@@ -74,7 +74,7 @@
 
     def waits(self, rid: str) -> int:
         """When the latest timer for this request is due; 0: none has been set."""
-        return max((timer.at for timer in self.timers if timer.token.startswith(f"r:{rid}/")), default=0)
+        return max((timer.fire_at for timer in self.timers if timer.token.startswith(f"r:{rid}/")), default=0)
 
 
 class Visitor:
--- a/tests/node/test_start_clock.py
+++ b/tests/node/test_start_clock.py
@@ -33,7 +33,7 @@
     async def ages(self, whole: bool, *rows: dict[str, Any]) -> list[float]:
         """Servers' ages in seconds as the reader of this list has them."""
         update = await self.reader.read(json.dumps(listing(1, whole, *rows)))
-        return [(time.monotonic_ns() - one.entry.started) / S for one in update.servers]
+        return [(time.monotonic_ns() - one.entry.started_at) / S for one in update.servers]
 
 
 @pytest.mark.parametrize("off_by", [0, 5, -5, HOUR, -HOUR])
--- a/tests/node/test_tenants.py
+++ b/tests/node/test_tenants.py
@@ -46,5 +46,5 @@
     raw = configuration(("127.0.0.1", 9))
     parties = [{"name": f"t{n}", "quotaPerS": 1.5 + n % 2} for n in range(100)]
     given = config.parse(json.dumps({**raw, "settings": settings(parties=parties)}))
-    assert given.settings.shares == (1.5, 2.5) * 50
-    assert len({id(share) for share in given.settings.shares}) == 2
+    assert given.settings.tenant_quotas_per_s == (1.5, 2.5) * 50
+    assert len({id(share) for share in given.settings.tenant_quotas_per_s}) == 2
--- a/tests/node/test_upstream.py
+++ b/tests/node/test_upstream.py
@@ -44,7 +44,7 @@
 ) -> None:
     """What the list says of one upstream."""
     state = state or (ServerState.READY if ready else ServerState.DRAINING)
-    entry = ServerEntry(number, zone=0, cell=0, kind=0, state=state, weight=1.0, started=started)
+    entry = ServerEntry(number, zone=0, cell=0, kind=0, state=state, weight=1.0, started_at=started)
     pool.put(Listed(entry, f"{address[0]}:{address[1]}"))
 
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -174,7 +174,7 @@
 
 def test_what_passes_the_check_can_be_parsed() -> None:
     check_settings(settings())
-    assert parse_settings(settings()).shares == (50.0, 25.0)
+    assert parse_settings(settings()).tenant_quotas_per_s == (50.0, 25.0)
     check_settings({**settings(), "unknown": {"key": 1}})
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -9,8 +9,9 @@
 from tests.harness import CLASSES, MS, S, World, entry, make_settings
 from tests.test_failures import fleet, warm_up
 from dykeshift.interface import (
-    NOT_RUN,
+    UNEXECUTED_OUTCOMES,
     Cancel,
+    DedupScope,
     Fail,
     Idempotency,
     ListKind,
@@ -18,7 +19,6 @@
     Log,
     Outcome,
     Refuse,
-    Scope,
     ServerState,
 )
 
@@ -34,13 +34,13 @@
     world.advance(20 * MS)
     world.actions.clear()
     world.end(rid, 1, Outcome.OK)
-    assert [(a.request_id, a.attempt) for a in world.actions if isinstance(a, Cancel)] == [(rid, 0)]
+    assert [(a.request_id, a.attempt_index) for a in world.actions if isinstance(a, Cancel)] == [(rid, 0)]
     world.settle()
 
 
 def test_no_copies_where_the_others_are_at_work_though_none_of_ours_is_there() -> None:
     """Fleet days: seven sharers each took a server for idle that held two attempts of the others."""
-    world = fleet(60, balancers=40)
+    world = fleet(60, balancer_count=40)
     warm_up(world, 200)
     for used, copies in ((0.0, 2), (0.4, 1)):
         for server in world.balancer.pool:
@@ -80,13 +80,17 @@
     seen, k = world.requests[rid], CLASSES[klass]
     for _ in range(4):
         world.end_all(rid, bad)
-    if k.idempotency is Idempotency.UNSAFE and bad not in NOT_RUN:
+    if k.idempotency is Idempotency.UNSAFE and bad not in UNEXECUTED_OUTCOMES:
         assert len(seen.servers) == 1 and seen.final == "Fail"
-    if bad in NOT_RUN:
-        world.advance(k.deadline)
+    if bad in UNEXECUTED_OUTCOMES:
+        world.advance(k.client_timeout)
         assert seen.final == "Refuse"
     world.settle()
-    if k.idempotency is Idempotency.KEYED and k.scope is not Scope.ALL and bad not in NOT_RUN:
+    if (
+        k.idempotency is Idempotency.KEYED
+        and k.dedup_scope is not DedupScope.ALL
+        and bad not in UNEXECUTED_OUTCOMES
+    ):
         assert seen.final == "Fail"
     assert {
         type(a) for a in world.actions if getattr(a, "request_id", "") == rid and isinstance(a, Refuse | Fail)
@@ -158,7 +162,7 @@
     sent, mean = cold_sends(world, 7, 500)
     s = world.settings
     assert mean > 50
-    assert 0 < sent <= s.overload_multiple * s.cold_share * mean
+    assert 0 < sent <= s.overload_multiple * s.cold_capacity_share * mean
     world.settle()
 
 
@@ -196,7 +200,7 @@
     """Each of 300 has measured nothing and finds only cold servers: together they send a few a window."""
     total, window = 0, 0
     for seed in range(300):
-        world = World(make_settings(balancers=300), seed)
+        world = World(make_settings(balancer_count=300), seed)
         world.announce(ListKind.CACHED, *(entry(n, started=world.now) for n in range(4)))
         window = world.settings.overload_window
         for _ in range(6):
@@ -207,7 +211,7 @@
 
 
 def test_a_failed_watch_is_repeated_in_time_with_growing_spread_pauses() -> None:
-    world = World(make_settings(ask_discovery=True))
+    world = World(make_settings(watch_discovery=True))
     assert world.watches == 1
     pauses = []
     for n in range(1, 6):
@@ -216,7 +220,7 @@
         while world.watches == n:
             world.advance(10 * MS)
         pauses.append(world.now - since)
-    assert pauses[0] < pauses[2] and max(pauses) <= world.settings.ask_every
+    assert pauses[0] < pauses[2] and max(pauses) <= world.settings.max_watch_interval
     world.settle()
 
 
@@ -240,7 +244,7 @@
     ],
 )
 def test_a_refusal_says_when_to_come_back_within_the_limit(limit: int, admit: float, least: int) -> None:
-    world = World(make_settings(retry_advice_limit=limit))
+    world = World(make_settings(max_retry_after=limit))
     world.balancer.admit = admit
     world.submit(0)
     world.advance(S)
@@ -251,12 +255,12 @@
 
 def test_a_client_whose_answer_can_no_longer_be_in_time_is_told_to_stay_away() -> None:
     """Recording inc7570: such clients were asked back within milliseconds, for nothing."""
-    world = fleet(1, retry_advice_limit=2 * S)
+    world = fleet(1, max_retry_after=2 * S)
     rid = world.submit(0)
-    world.advance(CLASSES[0].aim)
+    world.advance(CLASSES[0].latency_target)
     world.end_all(rid, Outcome.TIMEOUT)
     (refusal,) = (a for a in world.actions if isinstance(a, Refuse))
-    assert refusal.retry_after == CLASSES[0].deadline - CLASSES[0].aim
+    assert refusal.retry_after == CLASSES[0].client_timeout - CLASSES[0].latency_target
     world.settle()
 
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -126,7 +126,7 @@
 
 
 def trusted(balancers: int) -> float:
-    world = fleet(3, balancers=balancers)
+    world = fleet(3, balancer_count=balancers)
     for _ in range(60):
         rids = [world.submit(2) for _ in range(12)]
         world.advance(10 * MS)
@@ -185,7 +185,7 @@
     """Incident i78a34d: all classes were refused alike, whatever their worth per work."""
     world, rids = crowded()
     assert served(world, rids[2]) > 2 * served(world, rids[3])
-    world, rids = crowded(fairness=1.0)
+    world, rids = crowded(worst_class_weight=1.0)
     assert served(world, rids[2]) < 2 * served(world, rids[3]), "where the worst class counts much"
 
 
@@ -245,7 +245,7 @@
 
 def test_first_trust_is_a_share_and_later_servers_are_trusted_like_the_others() -> None:
     """Incident ibd67e9: eleven balancers filled every core within the first two seconds of an overload."""
-    world = fleet(3, balancers=16)
+    world = fleet(3, balancer_count=16)
     start = world.balancer.servers[0].room
     assert start * 16 < 6
     keep_busy(world)
@@ -280,7 +280,7 @@
 
 def test_a_jam_of_the_whole_fleet_ends_at_the_door() -> None:
     """Incident i3ee00a: at hundreds of balancers no single server's room stopped a burst in time."""
-    world = fleet(60, balancers=400)
+    world = fleet(60, balancer_count=400)
     for _ in range(60):  # all answers late, each server met once or twice
         rid = world.submit(2)
         world.advance(300 * MS)
@@ -316,7 +316,7 @@
 
 def test_a_room_below_one_recovers_at_hundreds_of_instances() -> None:
     """cardiff-push: rooms grew by 2/N of themselves and fell by a fifth; no server ever recovered."""
-    world = fleet(4, balancers=300)
+    world = fleet(4, balancer_count=300)
     server = world.balancer.servers[0]
     before = server.room
     for _ in range(120):
@@ -336,7 +336,7 @@
         world = fleet(60)
         for n in range(600):
             again = retry and n % 4 != 0
-            request = Request(f"x{n}", 2, world.now + 1500 * MS, retry=again)
+            request = Request(f"x{n}", 2, world.now + 1500 * MS, is_retry=again)
             world.requests[request.id] = Seen(request, CLASSES[2])
             world.play(world.balancer.on_request(world.now, request))
             world.advance(5 * MS)
@@ -351,7 +351,7 @@
     for alive in (range(40), range(0, 40, 2), range(14, 26)):
         sharers = dict.fromkeys(range(60), 0)
         for me in alive:
-            for server in fleet(60, seed=me, balancers=40, me=me).balancer.pool:
+            for server in fleet(60, seed=me, balancer_count=40, balancer_index=me).balancer.pool:
                 sharers[server.entry.id] += 1
         mean = sum(sharers.values()) / 60
         assert all(abs(n - mean) <= 2 for n in sharers.values()), sorted(sharers.values())
@@ -359,7 +359,7 @@
 
 def test_a_server_that_could_not_be_reached_comes_back_to_the_pool() -> None:
     """zone+vast: one that refused connections was last of all until its process was a new one."""
-    world = fleet(60, balancers=40)
+    world = fleet(60, balancer_count=40)
     gone = {s.entry.id for s in world.balancer.pool[:5]}
 
     def tries(rounds: int, cut: bool) -> int:
@@ -384,7 +384,7 @@
 def test_a_room_grows_only_where_it_is_used() -> None:
     """herd+vast: one quick attempt now and then from each of 40 let all their rooms grow to 15 a server."""
     for at_once, grows in ((1, False), (3, True)):
-        world = fleet(2, balancers=4)
+        world = fleet(2, balancer_count=4)
         before = world.balancer.servers[0].room
         for _ in range(60):
             for _ in range(at_once):
@@ -401,7 +401,7 @@
     """herd+vast: answers within 0.35 of the aim had six before them; rooms grew on them until all jammed."""
     rested = []
     for latency in (20, 120):  # both within 0.35 of the aim
-        world = fleet(1, balancers=8)
+        world = fleet(1, balancer_count=8)
         warm_up(world, klass=2)
         server = world.balancer.servers[0]
         server.room = before = 0.4
@@ -416,7 +416,7 @@
 
 def test_each_server_of_the_pool_is_met_often_enough_to_be_known() -> None:
     """herd+vast: each of 40 instances met each of 60 servers once in a window, and all of them jammed."""
-    world = fleet(60, balancers=40)
+    world = fleet(60, balancer_count=40)
     window = world.settings.overload_window
     for _ in range(100):
         world.end_all(world.submit(2))
@@ -424,7 +424,7 @@
     pool = world.balancer.pool
     assert 20 / len(pool) >= 2, "a request of one for two of its requests a window"
     rooms = [server.room for server in world.balancer.servers.values()]
-    trusted = sum(rooms) / len(rooms) * world.settings.balancers * len(pool) / 60
+    trusted = sum(rooms) / len(rooms) * world.settings.balancer_count * len(pool) / 60
     assert trusted > 1.5, "the room of a server is shared by those who draw from it, not by all"
     for _ in range(6000):
         world.end_all(world.submit(2))
@@ -496,7 +496,7 @@
     latency: int, least: int, most: int
 ) -> None:
     """Crossing rooms has a price: two of three attempts paid it while near servers had cores free."""
-    world = fleet(8, balancers=1)  # four of them in this room
+    world = fleet(8, balancer_count=1)  # four of them in this room
     for _ in range(80):
         rid = world.submit(2)
         world.advance(latency * MS)
@@ -511,8 +511,8 @@
 
 def test_an_overdue_attempt_gets_a_copy_though_no_server_is_idle() -> None:
     """One answer in twenty was lost: safe requests timed out after one attempt where all were at work."""
-    patient = replace(CLASSES[0], late_share=0.2)  # worth an answer also after its aim
-    world = fleet(6, balancers=1, classes=(patient,))
+    patient = replace(CLASSES[0], late_worth_share=0.2)  # worth an answer also after its aim
+    world = fleet(6, balancer_count=1, classes=(patient,))
     for _ in range(80):  # slow enough that only an empty server counts as idle
         rid = world.submit(0)
         world.advance(80 * MS)
@@ -547,14 +547,14 @@
 
 def test_in_a_crowd_a_tenant_beyond_its_share_does_not_push_out_those_within() -> None:
     """Score day overload: 64% of the requests within a share were refused, and 66% of those beyond."""
-    world = fleet(1, balancers=1, shares=(20.0, 20.0), over_share_worth=0.2)
+    world = fleet(1, balancer_count=1, tenant_quotas_per_s=(20.0, 20.0), over_quota_worth_share=0.2)
     for turn in range(1600):  # 125 requests a second where one server answers 50
         world.submit(3, tenant=0 if turn % 8 == 0 else 1)
         world.advance(8 * MS)
         if turn % 5 < 2 and world.out():
             world.end(*world.out()[0], Outcome.OK)
     world.settle()
-    finals = [[r.final for r in world.requests.values() if r.request.tenant == n] for n in (0, 1)]
+    finals = [[r.final for r in world.requests.values() if r.request.tenant_index == n] for n in (0, 1)]
     within, beyond = (f.count("OK") / len(f) for f in finals)
     assert within > 0.8 and within > 2 * beyond, f"served {within:.2f} of those within, {beyond:.2f} beyond"
 
@@ -565,7 +565,7 @@
     rid = world.submit(0)
     (send,) = (a for a in world.actions if isinstance(a, Send))
     assert send.timeout == 0
-    world.advance(CLASSES[0].aim + 100 * MS)
+    world.advance(CLASSES[0].latency_target + 100 * MS)
     assert not any(isinstance(a, Cancel) for a in world.actions)
     world.end(rid, 0, Outcome.OK)
     assert world.requests[rid].final == "OK"
@@ -607,11 +607,11 @@
 
 def test_in_a_crowd_a_retry_that_is_past_its_aim_is_refused_at_once() -> None:
     """Recording inc7570: clients came back with 160 of 199 ms left, when only 120 had been of use to them."""
-    world = fleet(1, retry_advice_limit=2 * S)
+    world = fleet(1, max_retry_after=2 * S)
     k = CLASSES[0]
 
     def ask(patience: int, retry: bool) -> str:
-        request = Request(f"p{len(world.requests)}", 0, world.now + patience, retry=retry)
+        request = Request(f"p{len(world.requests)}", 0, world.now + patience, is_retry=retry)
         world.requests[request.id] = Seen(request, k)
         world.play(world.balancer.on_request(world.now, request))
         return request.id
@@ -630,7 +630,7 @@
         assert world.requests[ask(patience, retry)].final == final, (patience, retry)
         ask(240 * MS, False)
     advice = [a.retry_after for a in world.actions if isinstance(a, Refuse)]
-    assert min(advice) == k.deadline  # longer than the client has
+    assert min(advice) == k.client_timeout  # longer than the client has
     world.balancer.crowd = 0.0
     assert world.requests[ask(late, True)].final == ""  # none is kept from it then
     world.settle()
@@ -641,13 +641,15 @@
     for balancers, most in ((2, 2), (40, 24)):
         again: list[int] = []
         for me in range(balancers):
-            world = World(make_settings(ask_discovery=True, balancers=balancers, me=me), seed=me)
+            world = World(
+                make_settings(watch_discovery=True, balancer_count=balancers, balancer_index=me), seed=me
+            )
             start = world.now
             for _ in range(2):
                 world.announce(ListKind.FAILED)
                 at = min(t for t, token in world.timers if token == "watch")
                 world.advance(at - world.now)
-                assert at - start <= 2 * world.settings.ask_every
+                assert at - start <= 2 * world.settings.max_watch_interval
             again.append(at)
         burst = max(sum(t <= other < t + S for other in again) for t in again)
         assert burst <= most, "in step again"
@@ -659,12 +661,14 @@
 
     def pause(world: World, kind: ListKind) -> int:
         world.announce(kind)
-        return [a.at for a in world.actions if isinstance(a, SetTimer) and a.token == "watch"][-1] - world.now
+        return [a.fire_at for a in world.actions if isinstance(a, SetTimer) and a.token == "watch"][
+            -1
+        ] - world.now
 
     spread = []
     for me in range(20):
-        world = World(make_settings(ask_discovery=True, balancers=200, me=me), seed=me)
-        for kind in (ListKind.BROKEN, ListKind.FAILED):
+        world = World(make_settings(watch_discovery=True, balancer_count=200, balancer_index=me), seed=me)
+        for kind in (ListKind.INTERRUPTED, ListKind.FAILED):
             spread.append(pause(world, kind))  # it never stood
             world.announce(ListKind.FULL, entry(1))
             spread.append(pause(world, kind))  # it stood
@@ -676,12 +680,12 @@
 
 def test_a_share_spread_thinly_over_many_balancers_still_counts() -> None:
     """Of 20 requests a second each of 200 balancers keeps a tenth: less than one in SHARE_WINDOW was none."""
-    balancer = Balancer(make_settings(balancers=200, shares=(20.0,)), seed=1)
+    balancer = Balancer(make_settings(balancer_count=200, tenant_quotas_per_s=(20.0,)), seed=1)
     beyond = []
     for n in range(5):
         now = (1 + 20 * n) * S  # half of what it keeps
-        balancer.on_request(now, Request(f"r{n}", 0, now + 500 * MS, tenant=0))
+        balancer.on_request(now, Request(f"r{n}", 0, now + 500 * MS, tenant_index=0))
         beyond.append(balancer.open[f"r{n}"].beyond)
-        balancer.on_request(now, Request(f"more{n}", 0, now + 500 * MS, tenant=0))
+        balancer.on_request(now, Request(f"more{n}", 0, now + 500 * MS, tenant_index=0))
         beyond.append(balancer.open[f"more{n}"].beyond)
     assert beyond == [False, True] * 5
--- a/tests/test_module_cost.py
+++ b/tests/test_module_cost.py
@@ -20,7 +20,7 @@
 
 from dykeshift import rules
 from dykeshift.interface import Action, AttemptEnd, ListKind, Log, Outcome, Request, Send
-from dykeshift.interface import ServerEntry, ServerList, ServerState
+from dykeshift.interface import ServerEntry, ServerListUpdate, ServerState
 from dykeshift.rules import KEPT, REPORTED, Balancer, Lane, Server
 from tests.harness import MS, S, make_settings
 
@@ -74,13 +74,15 @@
             ServerEntry(1_009 * n, n % 3, n % 40, 0, ServerState.READY, 1.0, 0) for n in range(servers)
         )
         shares = (2.0,) * self.tenants
-        self.balancer = Balancer(make_settings(balancers=BALANCERS, me=211, shares=shares), seed=7)
+        self.balancer = Balancer(
+            make_settings(balancer_count=BALANCERS, balancer_index=211, tenant_quotas_per_s=shares), seed=7
+        )
         self.now, self.count, self.logged = 100 * S, 0, list[str]()
         self.next_sweep = self.now + SWEEP
         self.balancer.on_start(self.now)
 
     def list_all(self) -> None:
-        self.balancer.on_list(self.now, ServerList(ListKind.FULL, self.entries))
+        self.balancer.on_list(self.now, ServerListUpdate(ListKind.FULL, self.entries))
 
     def listed(self) -> Traffic:
         self.list_all()
@@ -90,7 +92,7 @@
         """One server drains and comes back."""
         entry = self.entries[-number]
         for changed in (replace(entry, state=ServerState.DRAINING), entry):
-            self.balancer.on_list(self.now, ServerList(ListKind.DELTA, (changed,)))
+            self.balancer.on_list(self.now, ServerListUpdate(ListKind.DELTA, (changed,)))
 
     def sweep(self) -> None:
         actions = self.balancer.on_timer(self.now, "sweep")
@@ -102,12 +104,12 @@
         name, tenant = f"q{self.count}", self.count * 7 % self.tenants
         ends, sent = list(first_ends), 0
         deadline = self.now + 400 * MS
-        seen = queue = self.balancer.on_request(self.now, Request(name, klass, deadline, tenant=tenant))
+        seen = queue = self.balancer.on_request(self.now, Request(name, klass, deadline, tenant_index=tenant))
         while queue:
             action, *queue = queue
             if isinstance(action, Send):
                 outcome = ends.pop(0) if ends else Outcome.OK
-                end = AttemptEnd(name, sent, action.server, outcome, LATENCY, outcome is Outcome.OK)
+                end = AttemptEnd(name, sent, action.server_id, outcome, LATENCY, outcome is Outcome.OK)
                 sent += 1
                 more = self.balancer.on_attempt_end(self.now + LATENCY, end)
                 seen, queue = seen + more, queue + more
@@ -177,7 +179,7 @@
     assert bytes_before_traffic <= 1_000_000
     tracemalloc.start()
     other = Balancer(traffic.balancer.settings, seed=8)
-    other.on_list(traffic.now, ServerList(ListKind.FULL, traffic.entries))
+    other.on_list(traffic.now, ServerListUpdate(ListKind.FULL, traffic.entries))
     held = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     assert held <= 800_000, "entries aside: an index of the servers and two numbers a tenant"
@@ -212,11 +214,13 @@
 
 def test_a_report_counts_all_servers_and_names_those_that_fail() -> None:
     traffic = warmed(LARGE)
-    failing = {a.server for _ in range(4) for a in traffic.request(2, Outcome.ERROR) if isinstance(a, Send)}
+    failing = {
+        a.server_id for _ in range(4) for a in traffic.request(2, Outcome.ERROR) if isinstance(a, Send)
+    }
     traffic.change()
     entry = traffic.entries[0]
     drains = replace(entry, state=ServerState.DRAINING)
-    traffic.balancer.on_list(traffic.now, ServerList(ListKind.DELTA, (drains,)))
+    traffic.balancer.on_list(traffic.now, ServerListUpdate(ListKind.DELTA, (drains,)))
     traffic.logged.clear()
     traffic.sweep()
     traffic.sweep()
@@ -233,7 +237,7 @@
     repeats = 0
     for _ in range(50):
         traffic.now += BETWEEN
-        sent = [a.server for a in traffic.request(1, Outcome.RESET) if isinstance(a, Send)]
+        sent = [a.server_id for a in traffic.request(1, Outcome.RESET) if isinstance(a, Send)]
         repeats += len(sent) > 1
         assert len({cells[number] for number in sent}) <= 1
     assert repeats > 25, "its cell has 160 servers, of which the pool holds hardly one"
@@ -246,21 +250,21 @@
     within = 0
     for n in range(2_000):  # one tenant's requests, far beyond its share, and others between
         traffic.now += 10 * S // 3
-        within += shares.take(traffic.now, Request(f"t{n}", 0, traffic.now + S, tenant=14_999))
-        shares.take(traffic.now, Request(f"u{n}", 0, traffic.now + S, tenant=n))
+        within += shares.take(traffic.now, Request(f"t{n}", 0, traffic.now + S, tenant_index=14_999))
+        shares.take(traffic.now, Request(f"u{n}", 0, traffic.now + S, tenant_index=n))
     assert within == pytest.approx(part * 2_000 * 10 / 3, abs=2)
 
 
 def test_a_server_met_anew_gets_no_second_attempt_of_the_same_request() -> None:
     """Its state was dropped between two attempts: by that alone it looked like another server."""
-    balancer = Balancer(make_settings(balancers=BALANCERS), seed=7)
+    balancer = Balancer(make_settings(balancer_count=BALANCERS), seed=7)
     now = 100 * S
     entry = ServerEntry(5, 0, 0, 0, ServerState.READY, 1.0, 0)
-    balancer.on_list(now, ServerList(ListKind.FULL, (entry,)))
+    balancer.on_list(now, ServerListUpdate(ListKind.FULL, (entry,)))
     (sent,) = (a for a in balancer.on_request(now, Request("q", 0, now + S)) if isinstance(a, Send))
-    del balancer.servers[sent.server]
-    balancer.on_list(now, ServerList(ListKind.DELTA, (entry,)))
-    end = AttemptEnd("q", 0, sent.server, Outcome.FULL, MS, False)
+    del balancer.servers[sent.server_id]
+    balancer.on_list(now, ServerListUpdate(ListKind.DELTA, (entry,)))
+    end = AttemptEnd("q", 0, sent.server_id, Outcome.FULL, MS, False)
     actions = balancer.on_attempt_end(now + MS, end) + balancer.on_timer(now + 50 * MS, "r:q")
     assert not any(isinstance(action, Send) for action in actions)
 
@@ -269,7 +273,7 @@
     """A short cached list of long ago came first: its servers were each shared by all balancers."""
     traffic = Traffic(LARGE)
     balancer = traffic.balancer
-    balancer.on_list(traffic.now, ServerList(ListKind.CACHED, traffic.entries[:10]))
+    balancer.on_list(traffic.now, ServerListUpdate(ListKind.CACHED, traffic.entries[:10]))
     for server in balancer.servers.values():
         server.room = 3.0
     traffic.list_all()
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -50,14 +50,14 @@
     @rule(n=st.integers(0, 7), state=STATES, fresh=st.booleans())
     def delta(self, n: int, state: ServerState, fresh: bool) -> None:
         old = self.world.list.get(n)
-        started = self.world.now - 100 * MS if fresh else old.started if old else 0
+        started = self.world.now - 100 * MS if fresh else old.started_at if old else 0
         self.world.announce(ListKind.DELTA, entry(n, state, started))
 
     @rule(present=st.sets(st.integers(0, 7)), state=STATES)
     def snapshot(self, present: set[int], state: ServerState) -> None:
         keep = dict(self.world.list)
         rows = [
-            entry(n, state if n == 3 else ServerState.READY, keep[n].started if n in keep else 0)
+            entry(n, state if n == 3 else ServerState.READY, keep[n].started_at if n in keep else 0)
             for n in sorted(present)
         ]
         self.world.announce(ListKind.FULL, *rows)
@@ -79,7 +79,7 @@
 
 
 class RulesAsking(Rules):
-    changes = {"ask_discovery": True, "copies_allowed": False, "step": 2 * MS}
+    changes = {"watch_discovery": True, "copies_allowed": False, "min_call_interval": 2 * MS}
 
 
 LIMITS = settings(
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -13,4 +13,4 @@
     code = re.search(r"```python\n(.*?)```", text, re.S)
     assert code is not None
     exec(compile(code.group(1), "README.md", "exec"), {})
-    assert "Cancel(request_id='r1', attempt=1)" in capsys.readouterr().out
+    assert "Cancel(request_id='r1', attempt_index=1)" in capsys.readouterr().out
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import rule
 
-from dykeshift.interface import Idempotency, ListKind, Outcome, Request, RequestClass, Scope, ServerState
+from dykeshift.interface import Idempotency, ListKind, Outcome, Request, RequestClass, DedupScope, ServerState
 from dykeshift.rules import KEPT
 from tests.harness import CLASSES, KEYED_CELL, MS, SAFE, UNSAFE, S, World, entry, make_settings
 from tests.test_properties import Rules
@@ -94,9 +94,9 @@
 
 
 def test_attempt_limit_and_second_copies_take_effect_at_once() -> None:
-    world = make_world((SAFE,), attempt_limit=5)
+    world = make_world((SAFE,), max_attempts=5)
     rid = world.submit(0)
-    change(world, attempt_limit=1, copies_allowed=False)
+    change(world, max_attempts=1, copies_allowed=False)
     sent = len(world.requests[rid].servers)
     world.end_all(rid, Outcome.ERROR)
     assert len(world.requests[rid].servers) == sent and world.requests[rid].final == "Refuse"
@@ -110,20 +110,22 @@
 
 
 def test_shares_are_kept_by_the_name_of_the_tenant_and_bounded_by_the_new_ones() -> None:
-    world = make_world((SAFE,), shares=(8.0, 40.0), tenants=numbers("acme", "globex"), balancers=1)
+    world = make_world(
+        (SAFE,), tenant_quotas_per_s=(8.0, 40.0), tenant_indexes=numbers("acme", "globex"), balancer_count=1
+    )
 
     def within(tenant: int) -> int:
         """How many requests in a row are within the tenant's share."""
         count = 0
-        while world.balancer.shares.take(world.now, Request("r", 0, 0, tenant=tenant)):
+        while world.balancer.shares.take(world.now, Request("r", 0, 0, tenant_index=tenant)):
             count += 1
         return count
 
     assert within(0) == 24  # three seconds' worth
-    change(world, shares=(40.0, 8.0, 4.0), tenants=numbers("globex", "acme", "new"))
+    change(world, tenant_quotas_per_s=(40.0, 8.0, 4.0), tenant_indexes=numbers("globex", "acme", "new"))
     assert (within(0), within(1), within(2)) == (120, 0, 12)
     world.advance(S)
-    change(world, shares=(80.0,), tenants=numbers("globex"), balancers=40)
+    change(world, tenant_quotas_per_s=(80.0,), tenant_indexes=numbers("globex"), balancer_count=40)
     assert within(0) == 6  # a fortieth of three seconds' worth, however much was left before
 
 
@@ -144,7 +146,7 @@
 
 def test_the_balancer_count_is_that_of_the_new_settings() -> None:
     world = make_world((SAFE,))
-    change(world, balancers=400)
+    change(world, balancer_count=400)
     assert world.balancer._sharers() == 400
 
 
@@ -174,8 +176,11 @@
 # ---- any history ----
 
 VARIANTS = [replace(c, idempotency=kind) for c in CLASSES for kind in Idempotency]
-VARIANTS += [replace(c, aim=c.aim // 4, deadline=c.deadline * 2, worth=0.0) for c in CLASSES]
-VARIANTS += [replace(c, scope=scope, window=50 * MS) for c in CLASSES for scope in Scope]
+VARIANTS += [
+    replace(c, latency_target=c.latency_target // 4, client_timeout=c.client_timeout * 2, worth=0.0)
+    for c in CLASSES
+]
+VARIANTS += [replace(c, dedup_scope=scope, dedup_window=50 * MS) for c in CLASSES for scope in DedupScope]
 
 
 class ChangingRules(Rules):
@@ -201,10 +206,10 @@
         change(
             self.world,
             classes=tuple(classes),
-            attempt_limit=limit,
+            max_attempts=limit,
             copies_allowed=copies,
             cancel_allowed=cancels,
-            balancers=balancers,
+            balancer_count=balancers,
             overload_window=window,
         )
 
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -24,7 +24,7 @@
     Request,
     Send,
     ServerEntry,
-    ServerList,
+    ServerListUpdate,
     ServerState,
     SetTimer,
     Settings,
@@ -46,19 +46,25 @@
 def pause_after(world: World, kind: ListKind) -> int:
     """How long the module waits with the next call after this failure."""
     world.announce(kind)
-    timers = [a.at for a in world.actions if isinstance(a, SetTimer) and a.token == "watch"]
+    timers = [a.fire_at for a in world.actions if isinstance(a, SetTimer) and a.token == "watch"]
     return timers[-1] - world.now
 
 
 @pytest.mark.parametrize("ask_every", [1 * S, 10 * S, 3600 * S])
-@pytest.mark.parametrize("kind", [ListKind.FAILED, ListKind.BROKEN])
+@pytest.mark.parametrize("kind", [ListKind.FAILED, ListKind.INTERRUPTED])
 @pytest.mark.parametrize("balancers", [2, 20, 200, 420])
 def test_news_is_in_within_its_time_after_any_failure(balancers: int, kind: ListKind, ask_every: int) -> None:
     """First and repeated failures alike, of a watch that stood, that never did, and after a move."""
     longest = 0
     for seed in range(20):
         world = World(
-            make_settings(ask_discovery=True, balancers=balancers, me=seed, ask_every=ask_every), seed
+            make_settings(
+                watch_discovery=True,
+                balancer_count=balancers,
+                balancer_index=seed,
+                max_watch_interval=ask_every,
+            ),
+            seed,
         )
         longest = max(longest, *(pause_after(world, kind) for _ in range(8)))
         world.announce(ListKind.FULL, entry(1))
@@ -71,8 +77,8 @@
 
 @pytest.mark.parametrize("balancers", [2, 420])
 def test_each_pause_after_a_failure_ends_with_a_call(balancers: int) -> None:
-    world = World(make_settings(ask_discovery=True, balancers=balancers))
-    for n, kind in enumerate([ListKind.BROKEN, ListKind.FAILED] * 4, start=1):
+    world = World(make_settings(watch_discovery=True, balancer_count=balancers))
+    for n, kind in enumerate([ListKind.INTERRUPTED, ListKind.FAILED] * 4, start=1):
         pause = pause_after(world, kind)
         world.advance(pause - 1)
         assert world.watches == n
@@ -80,9 +86,9 @@
         assert world.watches == n + 1
 
 
-@pytest.mark.parametrize("kind", [ListKind.FAILED, ListKind.BROKEN])
+@pytest.mark.parametrize("kind", [ListKind.FAILED, ListKind.INTERRUPTED])
 def test_where_lists_are_pushed_the_module_leaves_the_calls_to_the_network_code(kind: ListKind) -> None:
-    world = World(make_settings(ask_discovery=False, balancers=420))
+    world = World(make_settings(watch_discovery=False, balancer_count=420))
     world.announce(kind)
     assert not world.watches and not any(token == "watch" for _, token in world.timers)
 
@@ -140,9 +146,10 @@
         self.events: list[tuple[int, int, Callable[[], None]]] = []
         self.requests: list[dict[str, ClientRequest]] = [{} for _ in rates]
         self.instances = [
-            Balancer(replace(settings, me=me), seed * 1000 + me) for me in range(settings.balancers)
+            Balancer(replace(settings, balancer_index=me), seed * 1000 + me)
+            for me in range(settings.balancer_count)
         ]
-        listed = ServerList(ListKind.FULL, tuple(server.entry for server in self.servers.values()))
+        listed = ServerListUpdate(ListKind.FULL, tuple(server.entry for server in self.servers.values()))
         for me, instance in enumerate(self.instances):
             self.play(me, instance.on_start(self.now))
             self.play(me, instance.on_list(self.now, listed))
@@ -164,7 +171,7 @@
     def arrive(self, me: int) -> None:
         self.schedule(self.gap(me), lambda: self.arrive(me))
         klass = int(self.random.random() * len(self.settings.classes))
-        deadline = self.now + self.settings.classes[klass].deadline
+        deadline = self.now + self.settings.classes[klass].client_timeout
         request = Request(f"q{next(self.numbers)}", klass, deadline)
         self.requests[me][request.id] = ClientRequest(request)
         self.schedule(deadline - self.now, lambda: self.expire(me, request.id))
@@ -194,7 +201,7 @@
             if isinstance(action, Send):
                 self.send(me, action)
             elif isinstance(action, SetTimer):
-                self.schedule(action.at - self.now, lambda token=action.token: self.tick(me, token))  # type: ignore[misc]
+                self.schedule(action.fire_at - self.now, lambda token=action.token: self.tick(me, token))  # type: ignore[misc]
             elif isinstance(action, Cancel):
                 held = self.requests[me][action.request_id]
                 self.schedule(0, lambda a=action, h=held: self.end(me, h, a.attempt, Outcome.CANCELLED))  # type: ignore[misc]
@@ -205,9 +212,9 @@
         self.play(me, self.instances[me].on_timer(self.now, token))
 
     def send(self, me: int, action: Send) -> None:
-        held, server = self.requests[me][action.request_id], self.servers[action.server]
+        held, server = self.requests[me][action.request_id], self.servers[action.server_id]
         attempt = len(held.sends)
-        held.sends.append((action.server, self.now))
+        held.sends.append((action.server_id, self.now))
         server.attempts.append(self.now)
 
         def begin() -> bool:
@@ -233,15 +240,15 @@
 
     def warmth(self, server: RemoteServer, at: int) -> float:
         """Least share of its capacity that a server has by now."""
-        started, share = server.entry.started, self.settings.cold_share
+        started, share = server.entry.started_at, self.settings.cold_capacity_share
         if not started:
             return 1.0
-        return min(1.0, share + (1 - share) * (at - started) / self.settings.cold_time)
+        return min(1.0, share + (1 - share) * (at - started) / self.settings.warm_up_time)
 
     def replace(self, *numbers: int) -> None:
         """New processes in place of these, told to all instances in the same instant."""
         for number in numbers:
-            self.servers[number] = RemoteServer(replace(self.servers[number].entry, started=self.now))
+            self.servers[number] = RemoteServer(replace(self.servers[number].entry, started_at=self.now))
         self.tell(tuple(self.servers[number].entry for number in numbers))
 
     def exchange(self, *numbers: int) -> None:
@@ -251,17 +258,17 @@
             old, new = self.servers[number], 1000 + number
             old.gone = self.now
             entries.append(replace(old.entry, state=ServerState.GONE))
-            self.servers[new] = RemoteServer(replace(old.entry, id=new, started=self.now))
+            self.servers[new] = RemoteServer(replace(old.entry, id=new, started_at=self.now))
             entries.append(self.servers[new].entry)
         self.tell(tuple(entries))
 
     def tell(self, entries: tuple[ServerEntry, ...]) -> None:
         for me, instance in enumerate(self.instances):
-            self.play(me, instance.on_list(self.now, ServerList(ListKind.DELTA, entries)))
+            self.play(me, instance.on_list(self.now, ServerListUpdate(ListKind.DELTA, entries)))
 
     def served(self, begin: int, end: int) -> float:
         """Answers of a whole server from `begin` to `end`, on average."""
-        whole = [s for s in self.servers.values() if not s.entry.started and s.gone >= end]
+        whole = [s for s in self.servers.values() if not s.entry.started_at and s.gone >= end]
         answers = [bisect_left(s.answers, end) - bisect_left(s.answers, begin) for s in whole]
         return sum(answers) / len(answers)
 
@@ -269,9 +276,9 @@
         """For each window in which a server warmed up: its attempts over those that it bears."""
         found, window = [], self.settings.overload_window
         for server in self.servers.values():
-            if not server.entry.started:
+            if not server.entry.started_at:
                 continue
-            warm = server.entry.started + self.settings.cold_time
+            warm = server.entry.started_at + self.settings.warm_up_time
             for first, begin in enumerate(server.attempts):
                 if begin + window > min(warm, self.now):
                     break
@@ -299,7 +306,7 @@
 
 def request_rates(settings: Settings, servers: int, per_window: int, uneven: bool) -> list[float]:
     """Of each instance, so that each server has so many; uneven: one in six sees five times as many."""
-    weights = [5.0 if uneven and me % 6 == 0 else 1.0 for me in range(settings.balancers)]
+    weights = [5.0 if uneven and me % 6 == 0 else 1.0 for me in range(settings.balancer_count)]
     total = per_window * servers / (settings.overload_window / S)
     return [total * weight / sum(weights) for weight in weights]
 
@@ -317,7 +324,7 @@
 
 def worst_excess(case: Case, cold_is_whole: bool = False) -> float:
     """The largest of all windows' excesses after the event: above 1, a server may have been pushed over."""
-    settings = make_settings(balancers=case.instances)
+    settings = make_settings(balancer_count=case.instances)
     rates = request_rates(settings, case.servers, case.per_window, case.uneven)
     fleet = Fleet(settings, case.servers, rates, case.seed, cold_is_whole)
     fleet.advance(settings.overload_window)
@@ -378,7 +385,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_cold_fleet_is_still_sent_requests(seed: int) -> None:
     """What the test above bounds is not nothing."""
-    settings = make_settings(balancers=20)
+    settings = make_settings(balancer_count=20)
     fleet = Fleet(settings, 12, request_rates(settings, 12, 20, uneven=False), seed)
     fleet.advance(settings.overload_window)
     a_quarter_restarts(fleet)
