--- a/dykeshift/control.py
+++ b/dykeshift/control.py
@@ -1,9 +1,10 @@
-"""Decides which version of the settings is in force, and what to ask the agent for next. No I/O.
+"""Decides which version of the settings is in force and what to request from the agent next. Does no I/O.
 
-An agent on the balancer's own machine hands out documents `{"version": 12, "settings": {...}}`, or without
-settings where it has nothing that was asked for. Versions only rise: a document that is not newer is ignored,
-and one that is bad is turned down whole, remembered, and the newest one below it is asked for instead, so
-that a new process comes to the same version as one that was running when the bad one was published.
+An agent on the balancer's own machine serves documents of the form `{"version": 12, "settings": {...}}`, or
+without `settings` if it has no version that matches the query. The version in force never decreases: a
+document that is not newer is ignored. An invalid version is rejected as a whole and remembered, and the
+balancer requests the newest version below it instead. A newly started process thus arrives at the same
+version as a process that was already running when the invalid one was published.
 """
 
 from __future__ import annotations
@@ -16,42 +17,43 @@
 from dykeshift.settings import MalformedInputError
 from dykeshift.settings_check import check_settings, with_fixed_keys
 
-LONG_POLL_HOLD_MS = 2_000  # how long a watch may wait at the agent; one that fell silent shows soon after
-FIRST_BACKOFF_S, MAX_BACKOFF_S = 0.2, 1.6  # seconds; doubled with each failure in a row
-MIN_BACKOFF_SHARE = 0.5  # of the pause; the rest is at random
-MAX_REMEMBERED_REJECTIONS = 64  # bad versions
+LONG_POLL_HOLD_MS = 2_000  # a watch that stops responding is noticed soon after this time
+FIRST_BACKOFF_S = 0.2  # doubled with each consecutive failure
+MAX_BACKOFF_S = 1.6
+MIN_BACKOFF_SHARE = 0.5  # of the back-off; the rest is random jitter
+MAX_REMEMBERED_REJECTIONS = 64
 
-Parsed = TypeVar("Parsed")
+ParsedSettings = TypeVar("ParsedSettings")
 
 
 class DocumentError(MalformedInputError):
-    """An answer of the agent that is no settings document."""
+    """The agent's response is not a settings document."""
 
 
 @dataclass(frozen=True, slots=True)
 class Document:
-    """What an agent answers; `settings` is None where it has none that was asked for."""
+    """The body of an agent's response; `settings` is None if no version matches the query."""
 
     version: int
     settings: Mapping[str, Any] | None
 
 
 @dataclass(frozen=True, slots=True)
-class Apply(Generic[Parsed]):
-    """Put these into force, then say so by `applied` or `failed`."""
+class Apply(Generic[ParsedSettings]):
+    """The caller has to apply these settings and then call `on_applied`, or `reject` if that failed."""
 
     version: int
-    parsed: Parsed
+    parsed: ParsedSettings
 
 
 @dataclass(frozen=True, slots=True)
 class Ignore:
-    """Nothing new."""
+    """The document holds nothing new to apply."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Bad as a whole; `reason` is one line for the log."""
+    """The version was rejected as a whole; `reason` is the complete log line."""
 
     version: int
     reason: str
@@ -59,83 +61,91 @@
 
 @dataclass(frozen=True, slots=True)
 class Query:
-    """The next call to the agent."""
+    """The next request to the agent."""
 
     path: str
-    hold_s: float  # seconds that the answer may be held back
+    hold_s: float  # how long the agent may hold the response back
 
 
 def parse_document(raw: Any) -> Document:
-    """The document in parsed JSON; its settings are not looked into."""
+    """Return the document in this decoded JSON without checking its settings. Raises DocumentError."""
     if type(raw) is not dict:
-        raise DocumentError("a settings document is no object")
+        raise DocumentError("the settings document is not an object")
     version, settings = raw.get("version"), raw.get("settings")
     if type(version) is not int or version < 0:
-        raise DocumentError(f"a settings document has the version {version!r}")
+        raise DocumentError(
+            f"the settings document has the version {version!r}, expected a non-negative integer"
+        )
     if settings is None and "settings" in raw:
         raise DocumentError(f"the settings of version {version} are null")
     if settings is not None and type(settings) is not dict:
-        return Document(version, {"settings": settings})  # lacks all that is needed: turned down as bad
+        # The substitute lacks all required keys, so that this version is rejected as invalid.
+        return Document(version, {"settings": settings})
     return Document(version, settings)
 
 
-class SettingsControl(Generic[Parsed]):
-    """The versions that one balancer has heard of."""
+class SettingsControl(Generic[ParsedSettings]):
+    """The settings versions that one balancer knows of: the one in force, the newest, the rejected ones."""
 
     def __init__(
-        self, base: Mapping[str, Any], version: int, parse: Callable[[dict[str, Any]], Parsed], seed: int
+        self,
+        base: Mapping[str, Any],
+        version: int,
+        parse: Callable[[dict[str, Any]], ParsedSettings],
+        seed: int,
     ) -> None:
         self.base = base  # the settings that the balancer was started with
         self.version = version  # in force
-        self.newest_seen = version  # the newest heard of, sound or not
+        self.newest_seen = version  # valid or not
         self.parse = parse
         self.random = Random(seed).random
-        self.rejected: dict[int, None] = {}  # in the order of their coming
-        self.search_below: int | None = None  # a bad version: the newest one before it is wanted
-        self.consecutive_failures = 0  # calls in a row
-        self.last_call_answered = False  # since the start or the last failure
+        self.rejected: dict[int, None] = {}  # versions in the order of their rejection
+        self.search_below: int | None = None  # request the newest version below this rejected one next
+        self.consecutive_failures = 0  # of calls to the agent
+        self.last_call_answered = False  # False before the first call too
 
     def is_up_to_date(self) -> bool:
-        """Whether the newest sound version that the agent holds is in force."""
+        """Whether the newest valid version that the agent has is in force."""
         return self.last_call_answered and self.search_below is None
 
     def next_query(self) -> Query:
-        """What to ask for now."""
+        """Return the request to send to the agent now."""
         if self.search_below is not None:
             return Query(f"/v1/settings?before={self.search_below}", 0.0)
-        hold_ms = (
-            LONG_POLL_HOLD_MS if self.last_call_answered else 0
-        )  # an agent that may hold news is asked to answer at once
+        # At the start and after a failure the agent may have a newer version: it is to respond at once.
+        hold_ms = LONG_POLL_HOLD_MS if self.last_call_answered else 0
         return Query(f"/v1/settings?from={self.newest_seen}&hold_ms={hold_ms}", hold_ms / 1000)
 
-    def on_document(self, raw: Any) -> Apply[Parsed] | Ignore | Reject:
-        """Judge an answer; DocumentError if it is none, which counts as a failed call."""
+    def on_document(self, raw: Any) -> Apply[ParsedSettings] | Ignore | Reject:
+        """Decide about the agent's response. Raises DocumentError, which counts as a failed call."""
         document = parse_document(raw)
         self.consecutive_failures, self.last_call_answered = 0, True
-        searched, self.search_below = self.search_below, None
+        searched_below, self.search_below = self.search_below, None
         version = document.version
         if document.settings is None or version <= self.version:
             return Ignore()
-        if searched is not None and version >= searched:
-            raise DocumentError(f"version {version} came where one before {searched} was asked for")
+        if searched_below is not None and version >= searched_below:
+            raise DocumentError(
+                f"the agent returned version {version}, requested was one below {searched_below}"
+            )
         self.newest_seen = max(self.newest_seen, version)
         if version in self.rejected:
             self.search_below = version
             return Ignore()
         try:
-            whole = with_fixed_keys(document.settings, self.base)
-            check_settings(whole)
-            return Apply(version, self.parse(whole))
+            completed = with_fixed_keys(document.settings, self.base)
+            check_settings(completed)
+            return Apply(version, self.parse(completed))
         except (MalformedInputError, ValueError, TypeError, AttributeError, ArithmeticError) as exc:
             return self.reject(version, str(exc))
 
     def on_applied(self, version: int) -> None:
-        """This version is in force."""
+        """Record that this version is in force."""
         self.version = version
         self.rejected = {n: None for n in self.rejected if n > version}
 
     def reject(self, version: int, reason: str) -> Reject:
-        """This version cannot be used, whatever the reason; the one in force stays."""
+        """Record that this version cannot be used, for whatever reason; the one in force stays."""
         self.rejected[version] = None
         if len(self.rejected) > MAX_REMEMBERED_REJECTIONS:
             del self.rejected[next(iter(self.rejected))]
@@ -146,7 +156,7 @@
         )
 
     def on_call_failed(self) -> float:
-        """A call failed: the seconds until the next one."""
-        pause = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2 ** min(self.consecutive_failures, 10))
+        """Record a failed call and return the back-off until the next one in seconds."""
+        backoff_s = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2 ** min(self.consecutive_failures, 10))
         self.consecutive_failures, self.last_call_answered = self.consecutive_failures + 1, False
-        return float(pause * (MIN_BACKOFF_SHARE + (1 - MIN_BACKOFF_SHARE) * self.random()))
+        return float(backoff_s * (MIN_BACKOFF_SHARE + (1 - MIN_BACKOFF_SHARE) * self.random()))
--- a/dykeshift/node/settings_watch.py
+++ b/dykeshift/node/settings_watch.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Generic
 
-from dykeshift.control import Apply, DocumentError, Ignore, Parsed, Query, Reject, SettingsControl
+from dykeshift.control import Apply, DocumentError, Ignore, ParsedSettings, Query, Reject, SettingsControl
 from dykeshift.node.address import Address
 from dykeshift.node.call import HttpClient
 from dykeshift.node.connection import Response
@@ -21,15 +21,15 @@
 STARTUP_WAIT_S = 3.0  # seconds that a new process waits at most for the agent's newest version
 
 
-class SettingsWatch(Generic[Parsed]):
+class SettingsWatch(Generic[ParsedSettings]):
     """Asks again and again, after a failure with a pause; what is in force stays until a sound one comes."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         address: Address,
-        control: SettingsControl[Parsed],
-        apply_settings: Callable[[Parsed], bool],
+        control: SettingsControl[ParsedSettings],
+        apply_settings: Callable[[ParsedSettings], bool],
     ) -> None:
         self.loop = loop
         self.control = control
@@ -82,7 +82,7 @@
         self.caller.close()
         await asyncio.sleep(self.control.on_call_failed())
 
-    def _take(self, answer: Response) -> Apply[Parsed] | Ignore | Reject:
+    def _take(self, answer: Response) -> Apply[ParsedSettings] | Ignore | Reject:
         if answer.status != 200:
             raise DocumentError(f"the agent answered {answer.status}")
         try:
