--- a/dykeshift/settings_check.py
+++ b/dykeshift/settings_check.py
@@ -1,7 +1,8 @@
-"""Checks a settings object that is to come into force in service; the first fault is named by its path.
+"""Validates settings that are to come into force while the balancer serves.
 
-Stricter than `settings.parse_settings`, which reads what a deployment starts with: a balancer that serves can
-keep what it has, so that anything doubtful is better turned down.
+The error names the path of the first invalid value. The check is stricter than `settings.parse_settings`,
+which reads the settings at the start: a serving balancer can keep the settings it has, so anything doubtful
+is better rejected.
 """
 
 from __future__ import annotations
@@ -13,119 +14,123 @@
 
 Check = Callable[[Any, str], None]
 
-HOUR = 3_600_000_000_000  # nanoseconds; longer than any time in the settings
-# What describes the machine or the whole deployment: it is as the balancer was started with.
-FIXED = ("az", "me", "failureDomains", "kinds", "discovery")
-OWN = ("az", "me")  # those of them that differ from one balancer to another
-LARGEST = 1e15  # of rates and worths
-SHOWN = 60  # characters of a wrong value that are repeated
+MAX_DURATION_NS = 3_600_000_000_000  # one hour; longer than any time in the settings
+# These describe the machine or the whole deployment and keep the values from the start of the balancer.
+FIXED_KEYS = ("az", "me", "failureDomains", "kinds", "discovery")
+PER_BALANCER_KEYS = ("az", "me")  # fixed keys that differ between balancers
+MAX_NUMBER = 1e15  # limit for rates and worths
+MAX_SHOWN_CHARS = 60  # of an invalid value in an error message
 
 
-def fault(path: str, value: Any, expected: str) -> SettingsError:
-    """The error for a value that is not what its place demands, on one line."""
-    return SettingsError(f"{path} is {repr(value)[:SHOWN]}, expected {expected}")
+def invalid_value(path: str, value: Any, expected: str) -> SettingsError:
+    """Return the error for a value that its key does not allow, as one line."""
+    return SettingsError(f"{path} is {repr(value)[:MAX_SHOWN_CHARS]}, expected {expected}")
 
 
-def number(least: float, most: float = LARGEST) -> Check:
-    """A number within bounds; neither infinity nor what is no number lies within them."""
+def number_between(minimum: float, maximum: float = MAX_NUMBER) -> Check:
+    """Return a check for a number within these limits; infinity and NaN are outside of them."""
 
     def check(value: Any, path: str) -> None:
-        if type(value) not in (int, float) or not least <= value <= most:
-            raise fault(path, value, f"a number from {least:g} to {most:g}")
+        if type(value) not in (int, float) or not minimum <= value <= maximum:
+            raise invalid_value(path, value, f"a number from {minimum:g} to {maximum:g}")
 
     return check
 
 
-def whole(least: int, most: int) -> Check:
-    """A whole number within bounds; the wire may write it with a decimal point."""
+def integer_between(minimum: int, maximum: int) -> Check:
+    """Return a check for an integer within these limits; in JSON it may be written with a decimal point."""
 
     def check(value: Any, path: str) -> None:
-        number(least, most)(value, path)
+        number_between(minimum, maximum)(value, path)
         if value != int(value):
-            raise fault(path, value, "a whole number")
+            raise invalid_value(path, value, "a whole number")
 
     return check
 
 
 def one_of(*words: str) -> Check:
-    """One of a few words."""
+    """Return a check for one of these strings."""
 
     def check(value: Any, path: str) -> None:
         if value not in words:
-            raise fault(path, value, f"one of {', '.join(words)}")
+            raise invalid_value(path, value, f"one of {', '.join(words)}")
 
     return check
 
 
-def flag(value: Any, path: str) -> None:
-    """True or false."""
+def boolean(value: Any, path: str) -> None:
+    """Check for true or false."""
     if type(value) is not bool:
-        raise fault(path, value, "true or false")
+        raise invalid_value(path, value, "true or false")
 
 
-def label(value: Any, path: str) -> None:
-    """A name that a header can carry."""
+def header_safe_name(value: Any, path: str) -> None:
+    """Check for a name that a header can carry."""
     if type(value) is not str or not value or not value.isprintable() or not value.isascii():
-        raise fault(path, value, "a name")
+        raise invalid_value(path, value, "a name")
 
 
-DURATION = whole(0, HOUR)
-SOME_TIME = whole(1, HOUR)
-SERVICE: dict[str, Check] = {
-    "name": label,
-    "goalTimeNs": SOME_TIME,
-    "deadlineNs": SOME_TIME,
-    "worth": number(0),
+DURATION = integer_between(0, MAX_DURATION_NS)
+POSITIVE_DURATION = integer_between(1, MAX_DURATION_NS)
+SERVICE_REQUIRED: dict[str, Check] = {
+    "name": header_safe_name,
+    "goalTimeNs": POSITIVE_DURATION,
+    "deadlineNs": POSITIVE_DURATION,
+    "worth": number_between(0),
     "idempotency": one_of("pure", "token", "side_effect"),
 }
 SERVICE_OPTIONAL: dict[str, Check] = {
     "group": one_of("all", "zone", "cell"),
     "windowNs": DURATION,
-    "lateShare": number(0, 1),
-    "stream": flag,
+    "lateShare": number_between(0, 1),
+    "stream": boolean,
 }
-PARTY: dict[str, Check] = {"name": label, "quotaPerS": number(0)}
-BOUNDS: dict[str, Check] = {
-    "maxAttempts": whole(1, 100),
-    "secondCopies": flag,
-    "cancelling": flag,
-    "keepaliveNs": SOME_TIME,
-    "connectTimeoutNs": SOME_TIME,
+PARTY_REQUIRED: dict[str, Check] = {"name": header_safe_name, "quotaPerS": number_between(0)}
+BOUNDS_REQUIRED: dict[str, Check] = {
+    "maxAttempts": integer_between(1, 100),
+    "secondCopies": boolean,
+    "cancelling": boolean,
+    "keepaliveNs": POSITIVE_DURATION,
+    "connectTimeoutNs": POSITIVE_DURATION,
 }
-BOUNDS_OPTIONAL: dict[str, Check] = {"retryAfter": flag, "maxRetryAfterNs": DURATION}
-OBLIGATIONS: dict[str, Check] = {
-    "coldFrom": number(0, 1),
+BOUNDS_OPTIONAL: dict[str, Check] = {"retryAfter": boolean, "maxRetryAfterNs": DURATION}
+OBLIGATIONS_REQUIRED: dict[str, Check] = {
+    "coldFrom": number_between(0, 1),
     "coldNs": DURATION,
-    "tipMultiple": number(0.001),
-    "fallNs": whole(1_000_000, HOUR),  # the module's sweeps follow from it
+    "tipMultiple": number_between(0.001),
+    # The interval of the decision module's sweep timer is a share of this one, so it must not be too short.
+    "fallNs": integer_between(1_000_000, MAX_DURATION_NS),
     "answerSlackNs": DURATION,
     "drainGraceNs": DURATION,
 }
-OBLIGATIONS_OPTIONAL: dict[str, Check] = {"askEveryNs": SOME_TIME}
-TOP: dict[str, Check] = {"balancers": whole(1, 1_000_000), "discovery": one_of("push", "ask")}
-TOP_OPTIONAL: dict[str, Check] = {
+OBLIGATIONS_OPTIONAL: dict[str, Check] = {"askEveryNs": POSITIVE_DURATION}
+TOP_LEVEL_REQUIRED: dict[str, Check] = {
+    "balancers": integer_between(1, 1_000_000),
+    "discovery": one_of("push", "ask"),
+}
+TOP_LEVEL_OPTIONAL: dict[str, Check] = {
     "stepNs": DURATION,
-    "overShareWorth": number(0),
+    "overShareWorth": number_between(0),
     "valueBy": one_of("request", "work"),
 }
 
 
 def check_settings(raw: Any) -> None:
-    """Raise SettingsError at the first fault; unknown keys are skipped."""
-    _check_table(raw, "settings", TOP, TOP_OPTIONAL)
-    _check_table(raw.get("bounds"), "settings.bounds", BOUNDS, BOUNDS_OPTIONAL)
-    _check_table(raw.get("obligations"), "settings.obligations", OBLIGATIONS, OBLIGATIONS_OPTIONAL)
-    _check_table(raw.get("goal", {}), "settings.goal", {}, {"worstClass": number(0, 1)})
-    _check_list(raw.get("services"), "settings.services", SERVICE, SERVICE_OPTIONAL)
+    """Raise SettingsError for the first invalid value. Unknown keys are ignored."""
+    _check_table(raw, "settings", TOP_LEVEL_REQUIRED, TOP_LEVEL_OPTIONAL)
+    _check_table(raw.get("bounds"), "settings.bounds", BOUNDS_REQUIRED, BOUNDS_OPTIONAL)
+    _check_table(raw.get("obligations"), "settings.obligations", OBLIGATIONS_REQUIRED, OBLIGATIONS_OPTIONAL)
+    _check_table(raw.get("goal", {}), "settings.goal", {}, {"worstClass": number_between(0, 1)})
+    _check_list(raw.get("services"), "settings.services", SERVICE_REQUIRED, SERVICE_OPTIONAL)
     if not raw["services"]:
-        raise fault("settings.services", [], "one class at least")
-    _check_list(raw.get("parties", []), "settings.parties", PARTY, {})
+        raise invalid_value("settings.services", [], "one class at least")
+    _check_list(raw.get("parties", []), "settings.parties", PARTY_REQUIRED, {})
 
 
-def _check_table(raw: Any, path: str, needed: Mapping[str, Check], optional: Mapping[str, Check]) -> None:
+def _check_table(raw: Any, path: str, required: Mapping[str, Check], optional: Mapping[str, Check]) -> None:
     if type(raw) is not dict:
-        raise fault(path, raw, "an object")
-    for key, check in needed.items():
+        raise invalid_value(path, raw, "an object")
+    for key, check in required.items():
         if key not in raw:
             raise SettingsError(f"{path}.{key} is missing")
         check(raw[key], f"{path}.{key}")
@@ -134,30 +139,33 @@
             check(raw[key], f"{path}.{key}")
 
 
-def _check_list(raw: Any, path: str, needed: Mapping[str, Check], optional: Mapping[str, Check]) -> None:
+def _check_list(raw: Any, path: str, required: Mapping[str, Check], optional: Mapping[str, Check]) -> None:
     if type(raw) is not list:
-        raise fault(path, raw, "a list")
+        raise invalid_value(path, raw, "a list")
     names: dict[str, int] = {}
-    for n, row in enumerate(raw):
-        _check_table(row, f"{path}[{n}]", needed, optional)
-        first = names.setdefault(row["name"], n)
+    for n, entry in enumerate(raw):
+        _check_table(entry, f"{path}[{n}]", required, optional)
+        first = names.setdefault(entry["name"], n)
         if first != n:
-            raise SettingsError(f"{path}[{n}].name is {row['name']!r}, as is that of {path}[{first}]")
+            raise SettingsError(f"{path}[{n}].name is {entry['name']!r}, as is that of {path}[{first}]")
 
 
 def with_fixed_keys(raw: Mapping[str, Any], base: Mapping[str, Any]) -> dict[str, Any]:
-    """The settings with what cannot change in service as in `base`; SettingsError if they say otherwise."""
-    for key in FIXED:
+    """Return the settings with the fixed keys as in `base`.
+
+    Raises SettingsError if the settings contain another value for such a key.
+    """
+    for key in FIXED_KEYS:
         if key in raw and raw[key] != base.get(key):
-            was = repr(base.get(key))[:SHOWN]
-            raise fault(f"settings.{key}", raw[key], f"{was}, which cannot change in service")
-    return {**raw, **{key: base[key] for key in FIXED if key in base}}
+            base_value = repr(base.get(key))[:MAX_SHOWN_CHARS]
+            raise invalid_value(f"settings.{key}", raw[key], f"{base_value}, which cannot change in service")
+    return {**raw, **{key: base[key] for key in FIXED_KEYS if key in base}}
 
 
 def check_published(raw: Any, previous: Mapping[str, Any] | None) -> None:
-    """Raise SettingsError unless these settings may follow `previous` for all balancers of a deployment."""
+    """Raise SettingsError unless every balancer of a deployment may change from `previous` to `raw`."""
     check_settings(raw)
-    for key in OWN:
+    for key in PER_BALANCER_KEYS:
         if key in raw:
             raise SettingsError(f"settings.{key} is one balancer's own and cannot be published")
     if previous is not None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -117,10 +117,10 @@
         (batch(1, 0, *configure(), "SUBMIT\t0\tc:a\t0\t0\t0\t9\t-\t5\t-"), "no class of the settings"),
         (batch(1, 0, *configure())[:-4], "cut short"),
         ("SYNC\t0\t1\nANNOUNCE\t0\t1\tdisk\t2\nM\t0\t0\tlive\t1\t11\t-\t0\nEND\n", "expected a list entry"),
-        (batch(1, 0, "CONFIGURE\t0\t1\t{"), "not JSON"),
-        (batch(1, 0, "CONFIGURE\t0\t1\t{}"), "settings lack bounds"),
+        (batch(1, 0, "CONFIGURE\t0\t1\t{"), "settings are not valid JSON"),
+        (batch(1, 0, "CONFIGURE\t0\t1\t{}"), "required key bounds is missing"),
         (batch(1, 0, *configure(services=[{"goalTimeNs": 1}])), "services[0].deadlineNs"),
-        (batch(1, 0, *configure(balancers="many")), "wrong kind"),
+        (batch(1, 0, *configure(balancers="many")), "wrong type"),
     ],
 )
 def test_malformed_input_gets_one_plain_line(text: str, says: str) -> None:
