--- a/dykeshift/node/__main__.py
+++ b/dykeshift/node/__main__.py
@@ -19,7 +19,7 @@
 from dykeshift.node.listener import Listener
 from dykeshift.node.listing import ListReader
 from dykeshift.node.reload import ConfigReload
-from dykeshift.node.server import Front
+from dykeshift.node.server import Frontend
 from dykeshift.node.service_settings import SettingsApplier
 from dykeshift.node.settings_watch import SettingsWatch
 from dykeshift.node.shutdown import StopSignal, shut_down_gracefully
@@ -33,7 +33,7 @@
 async def serve(
     configuration: config.Config,
     load_configuration: Callable[[], config.Config],
-    on_started: Callable[[Front, Listener, ConfigReload], None] | None = None,
+    on_started: Callable[[Frontend, Listener, ConfigReload], None] | None = None,
 ) -> None:
     loop = asyncio.get_running_loop()
     pool = Pool(
@@ -46,16 +46,16 @@
         loop,
         configuration.discovery,
         ListReader(configuration.zones, configuration.kinds),
-        driver.apply,
+        driver.apply_list,
         driver.discovery_failed,
         not configuration.settings.watch_discovery,
         configuration.drain_grace_s,
         lambda number: pool.listed_servers.get(number),
     )
-    front = Front(
+    front = Frontend(
         loop,
         driver,
-        requests.Reader(configuration.settings.classes, configuration.tenants),
+        requests.RequestReader(configuration.settings.classes, configuration.tenants),
         configuration.max_connections,
     )
     stop = StopSignal(loop)
@@ -65,7 +65,7 @@
     loop.add_signal_handler(signal.SIGHUP, reload)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])
     try:
-        listener = await Listener.open(loop, configuration.listen, front.connect)
+        listener = await Listener.open(loop, configuration.listen, front.new_connection)
     except OSError as error:
         raise listen_error(configuration, error) from None
     driver.start()
@@ -92,7 +92,10 @@
         on_started(front, listener, reload)
     signalled_at = await stop.wait()
     await shut_down_gracefully(
-        front, listener, signalled_at, max((c.client_timeout for c in front.reader.classes), default=0) / 1e9
+        front,
+        listener,
+        signalled_at,
+        max((c.client_timeout for c in front.request_reader.classes), default=0) / 1e9,
     )
 
 
--- a/dykeshift/node/connection.py
+++ b/dykeshift/node/connection.py
@@ -11,7 +11,7 @@
 
 import httptools
 
-from dykeshift.node.http1 import MAX_BODY, Gatherer, Unacceptable, has_input
+from dykeshift.node.http1 import MAX_BODY_BYTES, MessageAssembler, UnacceptableMessage, has_input
 
 log = logging.getLogger(__name__)
 
@@ -32,7 +32,7 @@
         """No whole answer will come; `written`: the request's last byte had been handed over."""
 
 
-class Connection(Gatherer, asyncio.Protocol):
+class Connection(MessageAssembler, asyncio.Protocol):
     __slots__ = (
         "loop",
         "transport",
@@ -55,7 +55,7 @@
         loop: asyncio.AbstractEventLoop,
         on_idle: Callable[[Connection], None],
         on_lost: Callable[[Connection], None],
-        max_body: int = MAX_BODY,
+        max_body: int = MAX_BODY_BYTES,
     ) -> None:
         super().__init__(max_body)
         self.loop = loop
@@ -92,7 +92,7 @@
         would no longer hold as the request is written.
         """
         assert self.transport is not None and self.handler is None
-        self.handler, self.response, self.reusable, self.fed = handler, None, False, 0
+        self.handler, self.response, self.reusable, self.bytes_fed = handler, None, False, 0
         self.last_activity = now
         self.transport.write(data)
 
@@ -128,8 +128,8 @@
         try:
             self.parser.feed_data(data)
             if self.response is None:
-                self.count(len(data))
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade, Unacceptable):
+                self.count_bytes(len(data))
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade, UnacceptableMessage):
             sound = False
         if self.response is not None:
             self._complete(
@@ -172,7 +172,7 @@
     def on_message_begin(self) -> None:
         if self.response is not None or self.handler is None:
             self.has_stray_data = True  # more than one answer to one request: nothing on it can be trusted
-        self.begin()
+        self.start_message()
         self.ends_at_close = False
 
     def on_headers_complete(self) -> None:
@@ -185,7 +185,7 @@
         framed = b"content-length" in self.headers or b"transfer-encoding" in self.headers
         if not framed and self.parser.get_status_code() >= 200:
             if self.headers.get(b"connection", b"").lower() != b"close":
-                raise Unacceptable(501)
+                raise UnacceptableMessage(501)
             self.ends_at_close = True
 
     def on_message_complete(self) -> None:
--- a/dykeshift/node/reload.py
+++ b/dykeshift/node/reload.py
@@ -62,4 +62,4 @@
             return
         log.info("discovery is at %s:%d now", *new.discovery)
         self.discovery.change_address(new.discovery)
-        self.driver.discovery_moved()
+        self.driver.discovery_address_changed()
--- a/dykeshift/node/server.py
+++ b/dykeshift/node/server.py
@@ -8,22 +8,34 @@
 
 import httptools
 
-from dykeshift.node.driver import FAILED, Driver, Reply
-from dykeshift.node.http1 import Gatherer, Unacceptable, has_ended, has_input, status_of
+from dykeshift.node.driver import FAILED_RESPONSE, ClientResponse, Driver
+from dykeshift.node.http1 import (
+    MessageAssembler,
+    UnacceptableMessage,
+    error_status,
+    has_input,
+    has_peer_closed,
+)
 from dykeshift.node.loop_watch import StallDetector
-from dykeshift.node.requests import BadRequest, Reader
+from dykeshift.node.requests import BadRequest, RequestReader
 
 log = logging.getLogger(__name__)
 
-SWEEP = 0.1  # seconds between two looks at connections that do nothing
-FIRST = 2.5  # seconds from connecting for the first request to come whole, whatever trickles in
-SLOW = 2.5  # seconds for a later one to come whole, or for an answer to be read
-AT_ONCE = 0.03  # seconds from accepting a connection in which its first bytes may have waited with it
-IDLE = 30.0  # seconds that a connection is kept after an answer
-ONCE = 2.0  # the same where one request was all that came, and for all in a crowd
-CROWD = 0.5  # of the limit on connections: so many that have been answered are one
-LINGER = 0.5  # seconds in which a client may go on sending after its last answer, so that it sees it
-_REASONS = {
+SWEEP_INTERVAL_S = 0.1  # seconds between two looks at connections that do nothing
+FIRST_REQUEST_TIMEOUT_S = (
+    2.5  # seconds from connecting for the first request to come whole, whatever trickles in
+)
+TRANSFER_TIMEOUT_S = 2.5  # seconds for a later one to come whole, or for an answer to be read
+BACKLOG_DATA_WINDOW_S = (
+    0.03  # seconds from accepting a connection in which its first bytes may have waited with it
+)
+KEEPALIVE_TIMEOUT_S = 30.0  # seconds that a connection is kept after an answer
+SHORT_KEEPALIVE_TIMEOUT_S = 2.0  # the same where one request was all that came, and for all in a crowd
+CROWDED_SHARE = 0.5  # of the limit on connections: so many that have been answered are one
+LINGERING_CLOSE_TIMEOUT_S = (
+    0.5  # seconds in which a client may go on sending after its last answer, so that it sees it
+)
+_REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     408: b"Request Timeout",
@@ -37,166 +49,183 @@
 }
 
 
-ENDED = Reply(503, b"refused: service ends here\n")
+SERVICE_ENDED_RESPONSE = ClientResponse(503, b"refused: service ends here\n")
 
 
-def render(reply: Reply, keep: bool) -> bytes:
+def encode_response(response: ClientResponse, keep_alive: bool) -> bytes:
     lines = [
-        b"HTTP/1.1 %d %s" % (reply.status, _REASONS[reply.status]),
-        b"Content-Type: " + reply.content_type,
-        b"Content-Length: %d" % len(reply.body),
+        b"HTTP/1.1 %d %s" % (response.status, _REASON_PHRASES[response.status]),
+        b"Content-Type: " + response.content_type,
+        b"Content-Length: %d" % len(response.body),
     ]
-    if reply.retry_after:
-        lines.append(b"Retry-After: %.3f" % (reply.retry_after / 1e9))
-    if not keep:
+    if response.retry_after_ns:
+        lines.append(b"Retry-After: %.3f" % (response.retry_after_ns / 1e9))
+    if not keep_alive:
         lines.append(b"Connection: close")
-    return b"\r\n".join(lines) + b"\r\n\r\n" + reply.body
+    return b"\r\n".join(lines) + b"\r\n\r\n" + response.body
 
 
-class Front:
+class Frontend:
     """All client connections together, within a bound."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, driver: Driver, reader: Reader, limit: int) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        driver: Driver,
+        request_reader: RequestReader,
+        max_connections: int,
+    ) -> None:
         self.loop = loop
         self.driver = driver
-        self.reader = reader
-        self.limit = limit
-        self.clients: set[Client] = set()
-        self.served = 0  # those of them that have been answered
-        self.stopping = self.closing = False  # no longer ready; letting go of the clients
-        self.ended = False  # nothing is begun any more
-        self.sweeper = loop.call_later(SWEEP, self.sweep)
+        self.request_reader = request_reader
+        self.max_connections = max_connections
+        self.connections: set[ClientConnection] = set()
+        self.served_connections = 0  # those of them that have been answered
+        self.is_stopping = self.closes_after_response = False  # no longer ready; letting go of the clients
+        self.refuses_requests = False  # nothing is begun any more
+        self.sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self.close_timed_out_connections)
         self.loop_watch = StallDetector(loop)
 
-    def connect(self) -> Client:
-        return Client(self)
+    def new_connection(self) -> ClientConnection:
+        return ClientConnection(self)
 
     def is_ready(self) -> bool:
-        return not self.stopping and self.driver.pool.has_ready_server()
+        return not self.is_stopping and self.driver.pool.has_ready_server()
 
-    def admit(self, client: Client) -> None:
+    def add_connection(self, client: ClientConnection) -> None:
         """Count a new connection in; over the limit, another makes room.
 
         Protects the limit on descriptors, and the usual clients from those that connect and say
         nothing: after those that have had their last answer these go first, the oldest of them, then who
         asked once and stayed, then who has been idle longest.
         """
-        self.clients.add(client)
-        if len(self.clients) > self.limit:
-            idle = [c for c in self.clients if (c.between() or c.lingers()) and c is not client]
-            idle.sort(key=lambda c: (not c.lingers(), min(c.answers, 2), c.since))
+        self.connections.add(client)
+        if len(self.connections) > self.max_connections:
+            idle = [c for c in self.connections if (c.is_idle() or c.is_lingering()) and c is not client]
+            idle.sort(key=lambda c: (not c.is_lingering(), min(c.response_count, 2), c.last_active_at))
             next((c for c in idle if not c.has_input()), client).abort()
 
-    def sweep(self) -> None:
+    def close_timed_out_connections(self) -> None:
         now = self.loop.time()
-        for client in list(self.clients):
-            client.expire(now)
-        self.sweeper = self.loop.call_later(SWEEP, self.sweep)
+        for client in list(self.connections):
+            client.close_if_timed_out(now)
+        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.close_timed_out_connections)
 
-    def crowded(self) -> bool:
-        return self.served > self.limit * CROWD
+    def is_crowded(self) -> bool:
+        return self.served_connections > self.max_connections * CROWDED_SHARE
 
     def close_idle(self) -> None:
         """Close connections on which no request has arrived, be it unread."""
-        for client in list(self.clients):
-            if client.between() and not client.has_input():
+        for client in list(self.connections):
+            if client.is_idle() and not client.has_input():
                 client.abort()
 
-    def refuse_unfinished(self) -> None:
+    def refuse_incomplete_requests(self) -> None:
         """Service ends: turn away whose request has not come whole yet, and all that come from now on.
 
         A request whose last byte comes as the process ends is taken on; its client has to have an answer.
         """
-        self.ended = True
-        for client in list(self.clients):
-            client.refuse_unfinished()
+        self.refuses_requests = True
+        for client in list(self.connections):
+            client.refuse_incomplete_request()
 
 
-class Client(Gatherer, asyncio.Protocol):
+class ClientConnection(MessageAssembler, asyncio.Protocol):
     __slots__ = (
-        "front",
+        "frontend",
         "transport",
         "parser",
         "target",
-        "busy",
-        "born",
-        "waited_since",
-        "since",
-        "keep",
-        "closing",
+        "has_open_request",
+        "connected_at",
+        "earliest_connect_at",
+        "last_active_at",
+        "keep_alive",
+        "discards_input",
         "request_id",
-        "began",
-        "whole",
-        "piped",
-        "answers",
+        "request_started_ns",
+        "is_complete",
+        "is_pipelined",
+        "response_count",
     )
 
-    def __init__(self, front: Front) -> None:
+    def __init__(self, frontend: Frontend) -> None:
         super().__init__()
-        self.front = front
+        self.frontend = frontend
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.target = b""
-        self.busy = False  # a request has been taken and not answered
-        self.whole = False
-        self.piped = False  # more than one request at a time has come
-        self.keep = True
-        self.closing = False  # what comes from it is dropped
+        self.has_open_request = False  # a request has been taken and not answered
+        self.is_complete = False
+        self.is_pipelined = False  # more than one request at a time has come
+        self.keep_alive = True
+        self.discards_input = False  # what comes from it is dropped
         self.request_id = ""  # the driver's name of the request that it has
-        self.began = 0  # when the first byte of the request came
-        self.born = self.since = front.loop.time()  # since: when it last did something
-        self.waited_since = front.loop_watch.earliest_arrival()  # to be accepted, at the earliest
-        self.answers = 0
+        self.request_started_ns = 0  # when the first byte of the request came
+        self.connected_at = self.last_active_at = frontend.loop.time()  # since: when it last did something
+        self.earliest_connect_at = frontend.loop_watch.earliest_arrival()  # to be accepted, at the earliest
+        self.response_count = 0
 
-    def between(self) -> bool:
+    def is_idle(self) -> bool:
         """Idle: no byte of a request has come that is not answered, and no answer waits to be read."""
-        return not self.busy and not self.began and not self.closing and not self.unread_answer()
-
-    def lingers(self) -> bool:
+        return (
+            not self.has_open_request
+            and not self.request_started_ns
+            and not self.discards_input
+            and not self.has_unread_response()
+        )
+
+    def is_lingering(self) -> bool:
         """Has had its last answer, and may close."""
-        return self.closing and not self.unread_answer()
+        return self.discards_input and not self.has_unread_response()
 
-    def unread_answer(self) -> bool:
+    def has_unread_response(self) -> bool:
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
-    def waits(self) -> bool:
+    def is_connected(self) -> bool:
         """Whether its close has not come, be it one that the event loop has not told yet."""
-        return self.transport is not None and not has_ended(self.transport.get_extra_info("socket"))
+        return self.transport is not None and not has_peer_closed(self.transport.get_extra_info("socket"))
 
     def has_input(self) -> bool:
         return self.transport is not None and has_input(self.transport.get_extra_info("socket"))
 
-    def expire(self, now: float) -> None:
+    def close_if_timed_out(self, now: float) -> None:
         """Let go of who is slow, silent or done.
 
         Protects descriptors: a first request is due from connecting on, however its bytes trickle in,
         and who was turned away does not hold its connection by sending on.
         """
-        if self.busy:
+        if self.has_open_request:
             return
-        if self.closing:
-            late = now - self.since > (LINGER if not self.unread_answer() else SLOW)
-        elif not self.answers:
-            late = now - self.born > FIRST
-        elif self.between():
+        if self.discards_input:
+            late = now - self.last_active_at > (
+                LINGERING_CLOSE_TIMEOUT_S if not self.has_unread_response() else TRANSFER_TIMEOUT_S
+            )
+        elif not self.response_count:
+            late = now - self.connected_at > FIRST_REQUEST_TIMEOUT_S
+        elif self.is_idle():
             # Clients that ask once and stay would take the connections of those that come back.
-            late = now - self.since > (ONCE if self.answers == 1 or self.front.crowded() else IDLE)
+            late = now - self.last_active_at > (
+                SHORT_KEEPALIVE_TIMEOUT_S
+                if self.response_count == 1 or self.frontend.is_crowded()
+                else KEEPALIVE_TIMEOUT_S
+            )
         else:
-            late = now - self.since > SLOW
-        if late and self.began and not self.closing:
-            self._reject(Reply(408, b"the request did not come in time\n"))
+            late = now - self.last_active_at > TRANSFER_TIMEOUT_S
+        if late and self.request_started_ns and not self.discards_input:
+            self._reject(ClientResponse(408, b"the request did not come in time\n"))
         elif late and not self.has_input():
             self.abort()
 
-    def refuse_unfinished(self) -> None:
+    def refuse_incomplete_request(self) -> None:
         """Turn away a request of which only a part has come."""
-        if self.began and not self.busy and not self.closing:
-            self._reject(ENDED)
+        if self.request_started_ns and not self.has_open_request and not self.discards_input:
+            self._reject(SERVICE_ENDED_RESPONSE)
 
     def abort(self) -> None:
         # Out of the count at once: its end is told later, and until then it would be let go once more
         # for each one that comes, and they would all stay.
-        self.front.clients.discard(self)
+        self.frontend.connections.discard(self)
         if self.transport is not None:
             self.transport.abort()
 
@@ -204,144 +233,156 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.front.admit(self)
+        self.frontend.add_connection(self)
 
     def data_received(self, data: bytes) -> None:
-        if self.closing or self.parser is None:
+        if self.discards_input or self.parser is None:
             return
-        if not self.began and not self.busy:
+        if not self.request_started_ns and not self.has_open_request:
             # By the earliest time that it may have come: a request may have waited while the process was held
             # up, and its client counts from its sending.
-            self.began = int(self._earliest_arrival() * 1e9)
-            self.since = self.front.loop.time()
+            self.request_started_ns = int(self._earliest_arrival() * 1e9)
+            self.last_active_at = self.frontend.loop.time()
         try:
             self.parser.feed_data(data)
-            if not self.whole:
-                self.count(len(data))
+            if not self.is_complete:
+                self.count_bytes(len(data))
         except httptools.HttpParserUpgrade:
             # The parser leaves the body of such a request unread: it would go on without it.
-            self._reject(Reply(400, b"no upgrade is offered\n"))
-        except (httptools.HttpParserError, Unacceptable) as exc:
-            self._reject(Reply(status_of(exc), b"unacceptable or malformed HTTP\n"))
-        if self.piped and not self.closing:
-            self._reject(Reply(400, b"one request at a time\n"))
-        if self.whole:
-            self.whole = False
-            self._take()
+            self._reject(ClientResponse(400, b"no upgrade is offered\n"))
+        except (httptools.HttpParserError, UnacceptableMessage) as exc:
+            self._reject(ClientResponse(error_status(exc), b"unacceptable or malformed HTTP\n"))
+        if self.is_pipelined and not self.discards_input:
+            self._reject(ClientResponse(400, b"one request at a time\n"))
+        if self.is_complete:
+            self.is_complete = False
+            self._handle_request()
 
     def _earliest_arrival(self) -> float:
         """When the bytes that have just been read may have come, in seconds of the loop's clock.
 
         What is read at once on a new connection may have waited for as long as the connection itself.
         """
-        earliest = self.front.loop_watch.earliest_arrival()
-        if not self.answers and self.front.loop.time() - self.born < AT_ONCE:
-            return min(earliest, self.waited_since)
+        earliest = self.frontend.loop_watch.earliest_arrival()
+        if not self.response_count and self.frontend.loop.time() - self.connected_at < BACKLOG_DATA_WINDOW_S:
+            return min(earliest, self.earliest_connect_at)
         return earliest
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.front.clients.discard(self)
-        self.front.served -= self.answers > 0
+        self.frontend.connections.discard(self)
+        self.frontend.served_connections -= self.response_count > 0
         self.transport = self.parser = None
-        if self.busy:
-            self.busy = False
-            self.front.driver.client_gone(self.request_id)
+        if self.has_open_request:
+            self.has_open_request = False
+            self.frontend.driver.client_disconnected(self.request_id)
 
     # ---- callbacks of the parser ----
 
     def on_message_begin(self) -> None:
-        if self.whole or self.busy:
-            self.piped = True
+        if self.is_complete or self.has_open_request:
+            self.is_pipelined = True
             return
-        self.begin()
+        self.start_message()
         self.target = b""
 
     def on_url(self, url: bytes) -> None:
-        if not self.piped:
+        if not self.is_pipelined:
             self.target += url
 
     def on_headers_complete(self) -> None:
-        if self.piped:
+        if self.is_pipelined:
             return
         super().on_headers_complete()
         if self.headers.get(b"expect", b"").lower() == b"100-continue" and self.transport is not None:
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_header(self, name: bytes, value: bytes | None) -> None:
-        if not self.piped:
+        if not self.is_pipelined:
             super().on_header(name, value)
 
     def on_body(self, data: bytes) -> None:
-        if not self.piped:
+        if not self.is_pipelined:
             super().on_body(data)
 
     def on_message_complete(self) -> None:
-        if not self.piped and self.parser is not None:
-            self.keep = self.parser.should_keep_alive()
-            self.whole = True
+        if not self.is_pipelined and self.parser is not None:
+            self.keep_alive = self.parser.should_keep_alive()
+            self.is_complete = True
 
     # ---- one request ----
 
-    def _take(self) -> None:
+    def _handle_request(self) -> None:
         assert self.parser is not None
-        self.busy = True
+        self.has_open_request = True
         method = self.parser.get_method()
         if method == b"HEAD":
-            self.keep = False  # its answer would have to come without the body that all here have
+            self.keep_alive = False  # its answer would have to come without the body that all here have
         if self.target.partition(b"?")[0] == b"/ready":
-            ready = self.front.is_ready()
-            self.answer(Reply(200, b"ready\n") if ready else Reply(503, b"not ready\n"))
+            ready = self.frontend.is_ready()
+            self.send_response(
+                ClientResponse(200, b"ready\n") if ready else ClientResponse(503, b"not ready\n")
+            )
             return
-        if self.front.ended:
-            self.answer(ENDED)
+        if self.frontend.refuses_requests:
+            self.send_response(SERVICE_ENDED_RESPONSE)
             return
         try:
-            incoming = self.front.reader.read(method, self.target, self.headers, self.body)
-            if self.front.driver.in_use(incoming):
+            client_request = self.frontend.request_reader.read(method, self.target, self.headers, self.body)
+            if self.frontend.driver.is_id_in_use(client_request):
                 raise BadRequest(409, "x-request-id is in use")
         except BadRequest as exc:
-            self.keep = False  # who asks like this goes on like this, at full speed
-            self.answer(Reply(exc.status, f"{exc}\n".encode()))
+            self.keep_alive = False  # who asks like this goes on like this, at full speed
+            self.send_response(ClientResponse(exc.status, f"{exc}\n".encode()))
             return
         assert self.transport is not None
-        if has_ended(self.transport.get_extra_info("socket")):  # told by the loop a turn later
-            self.busy = False
+        if has_peer_closed(self.transport.get_extra_info("socket")):  # told by the loop a turn later
+            self.has_open_request = False
             self.abort()
             return
-        self.request_id = self.front.driver.name(incoming)
+        self.request_id = self.frontend.driver.new_request_id(client_request)
         try:
-            self.front.driver.submit(self.request_id, incoming, self.began, self.answer, self.waits)
+            self.frontend.driver.submit(
+                self.request_id,
+                client_request,
+                self.request_started_ns,
+                self.send_response,
+                self.is_connected,
+            )
         except Exception:  # the program's own fault: an attempt may be out, so this is no refusal
-            log.exception("request %s", incoming.id)
-            self.front.driver.client_gone(self.request_id)  # else it would answer the next request
-            if self.busy:
-                self.answer(FAILED)
+            log.exception("request %s", client_request.id)
+            self.frontend.driver.client_disconnected(self.request_id)  # else it would answer the next request
+            if self.has_open_request:
+                self.send_response(FAILED_RESPONSE)
 
-    def answer(self, reply: Reply) -> None:
-        if self.transport is None or not self.busy:
+    def send_response(self, response: ClientResponse) -> None:
+        if self.transport is None or not self.has_open_request:
             return
         # In a crowd a first answer ends its connection: many clients ask once and stay, and those that
         # come back would find no room, nor a descriptor of their own to come with.
-        keep = self.keep and not self.front.closing and (self.answers > 0 or not self.front.crowded())
-        self.busy, self.began, self.request_id, self.fed = False, 0, "", 0
-        self.front.served += not self.answers
-        self.since, self.answers = self.front.loop.time(), self.answers + 1
-        self.transport.write(render(reply, keep))
-        if not keep:
+        keep_alive = (
+            self.keep_alive
+            and not self.frontend.closes_after_response
+            and (self.response_count > 0 or not self.frontend.is_crowded())
+        )
+        self.has_open_request, self.request_started_ns, self.request_id, self.bytes_fed = False, 0, "", 0
+        self.frontend.served_connections += not self.response_count
+        self.last_active_at, self.response_count = self.frontend.loop.time(), self.response_count + 1
+        self.transport.write(encode_response(response, keep_alive))
+        if not keep_alive:
             # Closed outright, what the client still sends would be met by a reset, which can take the
-            # answer with it: read on until it closes, or for LINGER at the most.
-            self.closing = True
+            # answer with it: read on until it closes, or for LINGERING_CLOSE_TIMEOUT_S at the most.
+            self.discards_input = True
             self.transport.write_eof()
 
-    def _reject(self, reply: Reply) -> None:
+    def _reject(self, response: ClientResponse) -> None:
         """Answer what is no single sound and whole request, and close.
 
         Protects against serving one request of several that came together, or one with unreadable
         bytes behind it: nobody can tell what such a client takes for the answer to what. One that is
         with the driver already is given up, and may have run.
         """
-        self.keep, self.whole = False, False
-        if self.busy:
-            self.front.driver.client_gone(self.request_id)
-        self.busy = True
-        self.answer(reply)
+        self.keep_alive, self.is_complete = False, False
+        if self.has_open_request:
+            self.frontend.driver.client_disconnected(self.request_id)
+        self.has_open_request = True
+        self.send_response(response)
--- a/dykeshift/node/service_settings.py
+++ b/dykeshift/node/service_settings.py
@@ -7,7 +7,7 @@
 from dykeshift.node import config, requests
 from dykeshift.node.discovery import DiscoveryWatch
 from dykeshift.node.driver import Driver
-from dykeshift.node.server import Front
+from dykeshift.node.server import Frontend
 
 
 @dataclass(frozen=True, slots=True)
@@ -16,16 +16,16 @@
 
     driver: Driver
     discovery: DiscoveryWatch
-    front: Front
+    front: Frontend
 
     def apply(self, new: config.Config) -> bool:
         """All parts in one turn of the event loop; False, and nothing is changed, if the module failed.
 
         Connects under way keep the time-out they began with, and open requests their class.
         """
-        if not self.driver.settings_changed(new.settings):
+        if not self.driver.apply_settings(new.settings):
             return False
         self.driver.pool.set_timeouts(new.connect_timeout_s, new.keepalive_s)
         self.discovery.drain_grace_s = new.drain_grace_s
-        self.front.reader = requests.Reader(new.settings.classes, new.tenants)
+        self.front.request_reader = requests.RequestReader(new.settings.classes, new.tenants)
         return True
--- a/dykeshift/node/shutdown.py
+++ b/dykeshift/node/shutdown.py
@@ -7,7 +7,7 @@
 import time
 
 from dykeshift.node.listener import Listener
-from dykeshift.node.server import Front
+from dykeshift.node.server import Frontend
 
 log = logging.getLogger(__name__)
 
@@ -46,7 +46,7 @@
 
 
 async def shut_down_gracefully(
-    front: Front, listener: Listener, signalled_at: float, longest_deadline: float
+    front: Frontend, listener: Listener, signalled_at: float, longest_deadline: float
 ) -> None:
     """Let go of the clients: none is turned away while some may still come, all taken are answered.
 
@@ -61,31 +61,31 @@
         + SIGKILL_AFTER_DEADLINE_S
         - SIGKILL_MARGIN_S
     )
-    front.stopping = True
-    front.driver.stop_by(time.monotonic_ns() + int((end - loop.time()) * 1e9))
-    jobs = front.driver.jobs
-    log.info("stopping: %d clients are connected, %d requests open", len(front.clients), len(jobs))
+    front.is_stopping = True
+    front.driver.set_stop_deadline(time.monotonic_ns() + int((end - loop.time()) * 1e9))
+    jobs = front.driver.open_requests
+    log.info("stopping: %d clients are connected, %d requests open", len(front.connections), len(jobs))
     while loop.time() < min(signalled_at + ACCEPT_AFTER_SIGTERM_S, end) or (
-        front.clients and loop.time() < end - CLOSING_PHASE_S
+        front.connections and loop.time() < end - CLOSING_PHASE_S
     ):
         await asyncio.sleep(POLL_INTERVAL_S)
-    front.closing = True
+    front.closes_after_response = True
     while listener.has_pending_connections() and loop.time() < end:
         await asyncio.sleep(0)  # closed now, it would reset those who wait to be accepted
     await listener.close()
     await close_idle_until(front, end)
-    front.refuse_unfinished()
+    front.refuse_incomplete_requests()
     await close_idle_until(front, end + CLIENT_CLOSE_WAIT_S)
     log.info(
         "stopped: %d clients are left, %d requests open",
-        sum(not client.lingers() for client in front.clients),
+        sum(not client.is_lingering() for client in front.connections),
         len(jobs),
     )
 
 
-async def close_idle_until(front: Front, deadline: float) -> None:
+async def close_idle_until(front: Frontend, deadline: float) -> None:
     """Close connections as they come to rest, until none is left or that time of the loop has come."""
     loop = asyncio.get_running_loop()
-    while front.clients and loop.time() < deadline:
+    while front.connections and loop.time() < deadline:
         front.close_idle()
         await asyncio.sleep(POLL_INTERVAL_S)
--- a/dykeshift/node/upstream.py
+++ b/dykeshift/node/upstream.py
@@ -165,7 +165,7 @@
 
     def on_failure(self, request_sent: bool) -> None:
         if self.reuse_idle_s is not None and self.connection is not None:
-            self.pool.idle_reuse_stats.record(self.reuse_idle_s, not self.connection.fed)
+            self.pool.idle_reuse_stats.record(self.reuse_idle_s, not self.connection.bytes_fed)
         self.finish(AttemptResult(Outcome.RESET if request_sent else Outcome.CONNECT_FAILED))
 
 
--- a/emulator/control/http_server.py
+++ b/emulator/control/http_server.py
@@ -10,7 +10,7 @@
 
 import httptools
 
-from dykeshift.node.http1 import Gatherer, Unacceptable
+from dykeshift.node.http1 import MessageAssembler, UnacceptableMessage
 
 MAX_BODY = 4 * 1024 * 1024  # bytes
 BACKLOG = 1024
@@ -74,7 +74,7 @@
             connection.abort()
 
 
-class _Connection(Gatherer, asyncio.Protocol):
+class _Connection(MessageAssembler, asyncio.Protocol):
     """One client's connection."""
 
     def __init__(self, server: HttpServer) -> None:
@@ -97,7 +97,7 @@
         self.server.bytes_in += len(data)
         try:
             self.parser.feed_data(data)
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade, Unacceptable):
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade, UnacceptableMessage):
             self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -107,7 +107,7 @@
             self.answering.cancel()
 
     def on_message_begin(self) -> None:
-        self.begin()
+        self.start_message()
         self.target = b""
 
     def on_url(self, url: bytes) -> None:
--- a/emulator/fleet/discovery_agent.py
+++ b/emulator/fleet/discovery_agent.py
@@ -10,7 +10,7 @@
 
 import httptools
 
-from dykeshift.node.http1 import has_ended
+from dykeshift.node.http1 import has_peer_closed
 from emulator.fleet.deadlines import DeadlineHeap
 from emulator.fleet.discovery_encoding import RegionEncoder
 from emulator.fleet.discovery_list import FIRST_GENERATION, ListVersion
@@ -187,7 +187,7 @@
 
     def has_given_up(self) -> bool:
         """Part of `Receiver`."""
-        return self._transport is None or has_ended(self._transport.get_extra_info("socket"))
+        return self._transport is None or has_peer_closed(self._transport.get_extra_info("socket"))
 
     def write(self, body: bytes) -> None:
         """Part of `Receiver`."""
--- a/tests/node/stubs.py
+++ b/tests/node/stubs.py
@@ -16,15 +16,15 @@
 from dykeshift.node.__main__ import serve
 from dykeshift.node.listener import Listener
 from dykeshift.node.reload import ConfigReload
-from dykeshift.node.server import Front
+from dykeshift.node.server import Frontend
 from dykeshift.node.upstream import Pool
 
-PATIENCE = 30.0  # seconds: only a test that has failed waits for so long
+TEST_TIMEOUT_S = 30.0  # seconds: only a test that has failed waits for so long
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(asyncio.wait_for(main, PATIENCE))
+        runner.run(asyncio.wait_for(main, TEST_TIMEOUT_S))
 
 
 def free_port() -> int:
@@ -34,14 +34,14 @@
         return int(one.getsockname()[1])
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     while not condition():
         await asyncio.sleep(0.002)
 
 
 @dataclass
 class Message:
-    start: str
+    start_line: str
     headers: dict[str, str]
     body: bytes
 
@@ -53,18 +53,18 @@
     return Message(lines[0], headers, body)
 
 
-def answer(body: bytes = b"done", status: str = "200 OK", **headers: str) -> bytes:
+def http_response(body: bytes = b"done", status: str = "200 OK", **headers: str) -> bytes:
     extra = "".join(f"{k.replace('_', '-')}: {v}\r\n" for k, v in headers.items())
     return f"HTTP/1.1 {status}\r\n{extra}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
-Handler = Callable[["Stub", Message, asyncio.StreamWriter], Awaitable[None]]
+Handler = Callable[["StubServer", Message, asyncio.StreamWriter], Awaitable[None]]
 
 
-def says(data: bytes, close: bool = False) -> Handler:
+def responds_with(data: bytes, close: bool = False) -> Handler:
     """Answers each request with these bytes."""
 
-    async def handle(_: Stub, __: Message, writer: asyncio.StreamWriter) -> None:
+    async def handle(_: StubServer, __: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
         if close:
             writer.close()
@@ -72,26 +72,26 @@
     return handle
 
 
-async def silent(_: Stub, __: Message, ___: asyncio.StreamWriter) -> None:
+async def never_responds(_: StubServer, __: Message, ___: asyncio.StreamWriter) -> None:
     """Takes a request and answers nothing."""
 
 
-async def resets(_: Stub, __: Message, writer: asyncio.StreamWriter) -> None:
+async def resets_connection(_: StubServer, __: Message, writer: asyncio.StreamWriter) -> None:
     writer.transport.abort()
 
 
 @dataclass
-class Stub:
+class StubServer:
     """An upstream that does as its handler says, and remembers what it saw."""
 
     handler: Handler
-    seen: list[Message] = field(default_factory=list)
+    requests: list[Message] = field(default_factory=list)
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
-    lost: int = 0
+    closed_connections: int = 0
     address: tuple[str, int] = ("", 0)
     server: asyncio.Server | None = None
 
-    async def start(self) -> Stub:
+    async def start(self) -> StubServer:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = self.server.sockets[0].getsockname()
         return self
@@ -101,9 +101,9 @@
         with suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
                 message = await read_message(reader)
-                self.seen.append(message)
+                self.requests.append(message)
                 await self.handler(self, message, writer)
-        self.lost += 1
+        self.closed_connections += 1
         writer.close()
 
 
@@ -126,27 +126,27 @@
 
 
 @dataclass
-class Registry:
+class StubLongPollServer:
     """Discovery: hands out what is put into `replies`, one a call, and holds calls while there is none."""
 
-    replies: asyncio.Queue[bytes] = field(default_factory=asyncio.Queue)
+    responses: asyncio.Queue[bytes] = field(default_factory=asyncio.Queue)
     paths: list[str] = field(default_factory=list)
     address: tuple[str, int] = ("", 0)
 
-    async def start(self) -> Registry:
+    async def start(self) -> StubLongPollServer:
         server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = server.sockets[0].getsockname()
         return self
 
-    def put(self, update: Any) -> None:
-        self.replies.put_nowait(answer(json.dumps(update).encode()))
+    def queue_json(self, document: Any) -> None:
+        self.responses.put_nowait(http_response(json.dumps(document).encode()))
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
                 message = await read_message(reader)
-                self.paths.append(message.start.split()[1])
-                writer.write(await self.replies.get())
+                self.paths.append(message.start_line.split()[1])
+                writer.write(await self.responses.get())
         writer.close()
 
 
@@ -211,53 +211,58 @@
 
 
 @dataclass
-class Node:
-    front: Front
+class RunningBalancer:
+    frontend: Frontend
     listener: Listener
-    registry: Registry
+    discovery: StubLongPollServer
     address: tuple[str, int]
-    given: config.Config
+    configuration: config.Config
     reload: ConfigReload
 
-    def move(self, registry: Registry) -> None:
+    def move_discovery(self, discovery: StubLongPollServer) -> None:
         """What SIGHUP does when the file names another discovery."""
-        self.given = replace(self.given, discovery=registry.address)
+        self.configuration = replace(self.configuration, discovery=discovery.address)
         self.reload()
 
-    async def open(self) -> Caller:
-        return Caller(*await asyncio.open_connection(*self.address))
+    async def connect(self) -> StubClient:
+        return StubClient(*await asyncio.open_connection(*self.address))
 
-    async def ask(self, request: bytes) -> Message:
-        caller = await self.open()
+    async def fetch(self, request: bytes) -> Message:
+        caller = await self.connect()
         try:
-            return await caller.ask(request)
+            return await caller.fetch(request)
         finally:
             caller.writer.close()
 
 
 @dataclass
-class Caller:
+class StubClient:
     """A client's connection."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
-    async def ask(self, request: bytes) -> Message:
+    async def fetch(self, request: bytes) -> Message:
         self.writer.write(request)
         return await read_message(self.reader)
 
 
-def request(
+def http_request(
     klass: str = "send",
-    rid: str = "r1",
-    deadline: int | str = 4000,
+    request_id: str = "r1",
+    deadline_ms: int | str = 4000,
     body: bytes = b"hello",
     method: str | None = None,
     **headers: str,
 ) -> bytes:
-    fields = {"Host": "backend.local", "X-Request-Id": rid, "X-Class": klass, "X-Deadline-Ms": str(deadline)}
+    fields = {
+        "Host": "backend.local",
+        "X-Request-Id": request_id,
+        "X-Class": klass,
+        "X-Deadline-Ms": str(deadline_ms),
+    }
     if klass == "set":
-        fields["Idempotency-Key"] = f"k-{rid}"
+        fields["Idempotency-Key"] = f"k-{request_id}"
     method = method or ("GET" if klass == "check" else "POST")
     if method == "POST":
         fields["Content-Length"] = str(len(body))
@@ -266,7 +271,7 @@
     return head.encode() + b"\r\n" + (body if method == "POST" else b"")
 
 
-class Gate:
+class ConnectGate:
     """The loop as a pool sees it, with connects that wait until the gate is opened."""
 
     def __init__(self, pool: Pool) -> None:
@@ -284,7 +289,7 @@
         return getattr(self.loop, name)
 
 
-def allowing(**bounds: Any) -> dict[str, Any]:
+def settings_with_bounds(**bounds: Any) -> dict[str, Any]:
     """Settings that allow something else."""
     changed = settings()
     changed["bounds"].update(bounds)
@@ -292,27 +297,30 @@
 
 
 @asynccontextmanager
-async def node(*upstreams: Stub, told: bool = True, **changes: Any) -> AsyncIterator[Node]:
+async def running_balancer(
+    *upstreams: StubServer, discovery_answers: bool = True, **changes: Any
+) -> AsyncIterator[RunningBalancer]:
     """The whole balancer in this process, knowing these upstreams by the names s0, s1, ...
 
-    `told`: discovery has answered its first call with the same, and the watch goes on from there.
+    `discovery_answers`: discovery has answered its first call with the same list, and
+    the watch goes on from there.
     """
-    registry = await Registry().start()
+    registry = await StubLongPollServer().start()
     known = listing(1, True, *(instance(f"s{n}", u.address) for n, u in enumerate(upstreams)))
-    told = told and bool(upstreams)
-    if told:
-        registry.put(known)
+    discovery_answers = discovery_answers and bool(upstreams)
+    if discovery_answers:
+        registry.queue_json(known)
     given = config.parse(json.dumps({**configuration(registry.address, known), **changes}))
-    ready: asyncio.Future[Node] = asyncio.get_running_loop().create_future()
+    ready: asyncio.Future[RunningBalancer] = asyncio.get_running_loop().create_future()
 
-    def started(front: Front, listener: Listener, reload: ConfigReload) -> None:
-        ready.set_result(Node(front, listener, registry, listener.address, given, reload))
+    def started(front: Frontend, listener: Listener, reload: ConfigReload) -> None:
+        ready.set_result(RunningBalancer(front, listener, registry, listener.address, given, reload))
 
-    task = asyncio.create_task(serve(given, lambda: ready.result().given, started))
+    task = asyncio.create_task(serve(given, lambda: ready.result().configuration, started))
     try:
         balancer = await ready
-        if told:
-            await until(lambda: len(registry.paths) == 2)
+        if discovery_answers:
+            await wait_until(lambda: len(registry.paths) == 2)
             assert registry.paths.pop(0).startswith("/v1/endpoints")
         yield balancer
     finally:
--- a/tests/node/test_end_of_service.py
+++ b/tests/node/test_end_of_service.py
@@ -23,18 +23,18 @@
 import pytest
 
 from tests.node.stubs import (
-    Caller,
     Message,
-    Registry,
-    Stub,
+    StubClient,
+    StubLongPollServer,
+    StubServer,
     configuration,
     free_port,
+    http_request,
+    never_responds,
     read_message,
-    request,
     run,
     settings,
-    silent,
-    until,
+    wait_until,
 )
 from tests.node.test_program import COMMAND, ROOT, balancer_process, connect
 
@@ -63,7 +63,7 @@
         process.kill()
 
 
-async def final_answer(caller: Caller) -> Message | None:
+async def final_answer(caller: StubClient) -> Message | None:
     """The answer that reached the client, or None where its connection ended with none."""
     try:
         return await read_message(caller.reader)
@@ -78,7 +78,7 @@
 ) -> None:
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        stub = await Stub(silent).start()
+        stub = await StubServer(never_responds).start()
         async with balancer_process(stub, tmp_path, longest_deadline=LONGEST_DEADLINE) as (process, port):
             callers = [await connect(port) for _ in range(8)]
             if held_at_signal:
@@ -91,7 +91,9 @@
             holding = loop.create_task(hold_up(process, told + KILL_AFTER - held_before_kill))
             await sleep_until(told + SENT_AFTER)
             for number, caller in enumerate(callers):
-                message = request("send", rid=f"r{number}", deadline=int(LONGEST_DEADLINE * 1000))
+                message = http_request(
+                    "send", request_id=f"r{number}", deadline_ms=int(LONGEST_DEADLINE * 1000)
+                )
                 caller.writer.write(message)
             answers = await asyncio.gather(*map(final_answer, callers))
             await asyncio.gather(killing, holding)
@@ -105,15 +107,15 @@
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        stub = await Stub(silent).start()
+        stub = await StubServer(never_responds).start()
         async with balancer_process(stub, tmp_path, longest_deadline=LONGEST_DEADLINE) as (process, port):
             caller = await connect(port)
             process.send_signal(signal.SIGTERM)
             told = loop.time()
             await sleep_until(told + SENT_AFTER)
-            caller.writer.write(request("send")[:-1])
+            caller.writer.write(http_request("send")[:-1])
             answered = await final_answer(caller)
-            assert answered is not None and " 503 " in answered.start
+            assert answered is not None and " 503 " in answered.start_line
             assert answered.headers["connection"] == "close"
             assert loop.time() < told + KILL_AFTER and await process.wait() == 0
 
@@ -124,7 +126,9 @@
     """The time until SIGKILL runs from the signal on: clients taken on later could not be answered."""
 
     async def main() -> None:
-        registry = await Registry().start()  # silent: a pushed list is waited for before service begins
+        registry = (
+            await StubLongPollServer().start()
+        )  # silent: a pushed list is waited for before service begins
         port, path = free_port(), tmp_path / "config.json"
         given = {**configuration(registry.address), "listen": f"127.0.0.1:{port}"}
         given["settings"] = settings(discovery="push")
@@ -134,7 +138,7 @@
             *COMMAND, cwd=ROOT, env={**os.environ, "NODE_CONFIG": str(path)}
         )
         try:
-            await until(lambda: bool(registry.paths))
+            await wait_until(lambda: bool(registry.paths))
             process.send_signal(signal.SIGTERM)
             connections = 0
             while process.returncode is None:
--- a/tests/node/test_failing_calls.py
+++ b/tests/node/test_failing_calls.py
@@ -18,7 +18,16 @@
 from dykeshift.node import config, startup
 from dykeshift.node.config import Config
 from emulator.faults.shim import PASSING_ERRORS, Call, Faults, Rule, build_shim, failing
-from tests.node.stubs import Registry, Stub, answer, node, request, run, says, until
+from tests.node.stubs import (
+    StubLongPollServer,
+    StubServer,
+    http_request,
+    http_response,
+    responds_with,
+    run,
+    running_balancer,
+    wait_until,
+)
 from tests.node.test_program import COMMAND, ROOT, balancer_process, config_text, connect
 
 READY_WITHIN = 10.0  # seconds
@@ -44,12 +53,12 @@
     """
 
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await StubServer(responds_with(http_response())).start()
         environment = faults(Rule(failed, failing(error), most=3))
         async with asyncio.timeout(READY_WITHIN):
             async with balancer_process(stub, tmp_path, environment=environment) as (_, port):
                 caller = await connect(port)
-                assert "200" in (await caller.ask(request("check"))).start
+                assert "200" in (await caller.fetch(http_request("check"))).start_line
                 caller.writer.close()
 
     run(main())
@@ -64,7 +73,7 @@
     """
 
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await StubServer(responds_with(http_response())).start()
         environment = faults(Rule(Call.ACCEPT, failing(error), share=0.5))
         async with balancer_process(stub, tmp_path, environment=environment, stderr=subprocess.PIPE) as (
             process,
@@ -72,7 +81,9 @@
         ):
             for number in range(30):
                 caller = await connect(port)
-                assert "200" in (await caller.ask(request("check", rid=f"r{number}"))).start
+                assert (
+                    "200" in (await caller.fetch(http_request("check", request_id=f"r{number}"))).start_line
+                )
                 caller.writer.close()
             process.terminate()
             assert process.stderr is not None
@@ -118,20 +129,20 @@
     """It was dropped with a line in the log, and nobody sends the signal once more."""
 
     async def main() -> None:
-        second = await Registry().start()
-        async with node() as balancer:
-            moved = replace(balancer.given, discovery=second.address)
+        second = await StubLongPollServer().start()
+        async with running_balancer() as balancer:
+            moved = replace(balancer.configuration, discovery=second.address)
             balancer.reload.load = unreadable(3, error, moved)
             balancer.reload()
-            await until(lambda: bool(second.paths))
+            await wait_until(lambda: bool(second.paths))
 
     run(main())
 
 
 def test_a_missing_configuration_is_final_at_once() -> None:
     async def main() -> None:
-        async with node() as balancer:
-            balancer.reload.load = unreadable(3, errno.ENOENT, balancer.given)
+        async with running_balancer() as balancer:
+            balancer.reload.load = unreadable(3, errno.ENOENT, balancer.configuration)
             balancer.reload()
             assert balancer.reload.retry_timer is None
 
--- a/tests/node/test_held_up.py
+++ b/tests/node/test_held_up.py
@@ -24,7 +24,17 @@
 from dykeshift.node import upstream as upstream_module
 from dykeshift.node.connection import Connection
 from dykeshift.node.upstream import Attempt
-from tests.node.stubs import Caller, Stub, answer, node, read_message, request, run, says, silent
+from tests.node.stubs import (
+    StubClient,
+    StubServer,
+    http_request,
+    http_response,
+    never_responds,
+    read_message,
+    responds_with,
+    run,
+    running_balancer,
+)
 from tests.node.test_program import balancer_process, connect
 from tests.node.test_standing_terms import Visitor, all_quiet, received, warm
 
@@ -80,12 +90,12 @@
     reading: int, klass: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
-        async with node(stub) as balancer:
+        stub = await StubServer(responds_with(http_response())).start()
+        async with running_balancer(stub) as balancer:
             await warm(balancer, stub)
-            visitor = Visitor(balancer, request(klass, rid="left"))
+            visitor = Visitor(balancer, http_request(klass, request_id="left"))
             hold = ClockHold(monkeypatch, reading, b"left", visitor.leave)
-            await balancer.ask(request("check", rid="other"))
+            await balancer.fetch(http_request("check", request_id="other"))
             await all_quiet(balancer)
             assert not hold.held or "left" not in received(stub)
 
@@ -107,22 +117,22 @@
     """
 
     async def main() -> None:
-        stub = await Stub(silent).start()
+        stub = await StubServer(never_responds).start()
         async with balancer_process(stub, tmp_path) as (process, port):
             caller = await connect(port)
-            assert "200" in (await caller.ask(b"GET /ready HTTP/1.1\r\nHost: b\r\n\r\n")).start
+            assert "200" in (await caller.fetch(b"GET /ready HTTP/1.1\r\nHost: b\r\n\r\n")).start_line
             process.send_signal(signal.SIGSTOP)
             await asyncio.sleep(0.005)  # it may take a moment to stop
             if new:  # taken by the system: it waits to be accepted
                 caller.writer.close()
                 caller = await connect(port)
-            caller.writer.write(request(klass, deadline=PATIENCE_MS))
+            caller.writer.write(http_request(klass, deadline_ms=PATIENCE_MS))
             sent = time.monotonic()
             await asyncio.sleep(LONG_HOLD)
             process.send_signal(signal.SIGCONT)
-            assert int((await read_message(caller.reader)).start.split()[1]) >= 500
+            assert int((await read_message(caller.reader)).start_line.split()[1]) >= 500
             assert time.monotonic() - sent < PATIENCE_MS / 1000 + CLIENT_SLACK
-            assert int(stub.seen[0].headers["x-deadline-ms"]) <= PATIENCE_MS - LONG_HOLD * 1000 + 25
+            assert int(stub.requests[0].headers["x-deadline-ms"]) <= PATIENCE_MS - LONG_HOLD * 1000 + 25
             caller.writer.close()
 
     run(main())
@@ -138,10 +148,10 @@
     """
 
     async def main() -> None:
-        stub = await Stub(silent).start()
+        stub = await StubServer(never_responds).start()
         async with balancer_process(stub, tmp_path) as (process, port):
             caller = await connect(port)
-            caller.writer.write(request("check", deadline=PATIENCE_MS))
+            caller.writer.write(http_request("check", deadline_ms=PATIENCE_MS))
             sent = time.monotonic()
             answered = asyncio.create_task(answered_at(caller))
             await asyncio.sleep(PATIENCE_MS / 1000 - before)
@@ -154,7 +164,7 @@
     run(main())
 
 
-async def answered_at(caller: Caller) -> float:
+async def answered_at(caller: StubClient) -> float:
     """When the last byte of the final answer has come."""
-    assert int((await read_message(caller.reader)).start.split()[1]) >= 500
+    assert int((await read_message(caller.reader)).start_line.split()[1]) >= 500
     return time.monotonic()
--- a/tests/node/test_listing.py
+++ b/tests/node/test_listing.py
@@ -26,19 +26,19 @@
 from dykeshift.settings import SettingsError
 from tests.node.stubs import (
     Message,
-    Node,
-    Registry,
-    Stub,
-    answer,
+    RunningBalancer,
+    StubLongPollServer,
+    StubServer,
     configuration,
+    http_request,
+    http_response,
     instance,
     listing,
-    node,
-    request,
+    responds_with,
     run,
-    says,
+    running_balancer,
     settings,
-    until,
+    wait_until,
 )
 
 LARGE = 6400
@@ -72,14 +72,14 @@
         return super().convert(row)
 
 
-def count_rows(balancer: Node) -> CountingReader:
+def count_rows(balancer: RunningBalancer) -> CountingReader:
     balancer.reload.discovery.reader = reader = CountingReader()
     return reader
 
 
-def told_to_the_module(balancer: Node) -> list[ServerListUpdate]:
+def told_to_the_module(balancer: RunningBalancer) -> list[ServerListUpdate]:
     told: list[ServerListUpdate] = []
-    module = balancer.front.driver.balancer
+    module = balancer.frontend.driver.decision_module
     sound = module.on_list
 
     def on_list(now: int, update: ServerListUpdate) -> list[Action]:
@@ -130,29 +130,34 @@
     """Requests are served meanwhile, by the old list: no longer than a part of the drain grace."""
 
     async def main() -> None:
-        stub, other = await Stub(says(answer())).start(), await Stub(says(answer())).start()
-        async with node(stub, settings=with_drain_grace(0)) as balancer:  # over before the first row
+        stub, other = (
+            await StubServer(responds_with(http_response())).start(),
+            await StubServer(responds_with(http_response())).start(),
+        )
+        async with running_balancer(
+            stub, settings=with_drain_grace(0)
+        ) as balancer:  # over before the first row
             reader = count_rows(balancer)
             asking: list[asyncio.Task[Message]] = []
-            reader.at[1] = lambda: asking.append(asyncio.create_task(balancer.ask(request())))
+            reader.at[1] = lambda: asking.append(asyncio.create_task(balancer.fetch(http_request())))
             whole = large(10 * ROWS_PER_TURN, state="leaving")
             whole["instances"] += [instance("s0", stub.address, "leaving"), instance("s1", other.address)]
-            balancer.registry.put(whole)
-            await until(lambda: bool(asking))
+            balancer.discovery.queue_json(whole)
+            await wait_until(lambda: bool(asking))
             assert (await asking[0]).body == b"done"
-            assert not stub.seen and len(other.seen) == 1
+            assert not stub.requests and len(other.requests) == 1
 
     run(main())
 
 
 def test_the_first_list_is_read_in_turns_however_long_that_takes() -> None:
     async def main() -> None:
-        async with node(settings=with_drain_grace(0)) as balancer:
+        async with running_balancer(settings=with_drain_grace(0)) as balancer:
             reader = count_rows(balancer)
             seen: list[int] = []
             reader.at[1] = lambda: asyncio.get_running_loop().call_soon(lambda: seen.append(reader.rows))
-            balancer.registry.put(large())
-            await until(lambda: len(balancer.front.driver.pool.listed_servers) == LARGE)
+            balancer.discovery.queue_json(large())
+            await wait_until(lambda: len(balancer.frontend.driver.pool.listed_servers) == LARGE)
             assert seen == [ROWS_PER_TURN]
 
     run(main())
@@ -160,21 +165,21 @@
 
 def test_requests_are_served_while_a_large_list_is_read() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
-        async with node(stub, settings=with_drain_grace(HOUR)) as balancer:
+        stub = await StubServer(responds_with(http_response())).start()
+        async with running_balancer(stub, settings=with_drain_grace(HOUR)) as balancer:
             reader = count_rows(balancer)
             served_at: list[int] = []
 
             async def ask() -> None:
-                await balancer.ask(request())
+                await balancer.fetch(http_request())
                 served_at.append(reader.rows)
 
             asking: list[asyncio.Task[None]] = []
             reader.at[1] = lambda: asking.append(asyncio.create_task(ask()))
-            balancer.registry.put(large())
-            await until(lambda: bool(served_at))
+            balancer.discovery.queue_json(large())
+            await wait_until(lambda: bool(served_at))
             assert served_at[0] < LARGE
-            await until(lambda: len(balancer.front.driver.pool.listed_servers) == LARGE)
+            await wait_until(lambda: len(balancer.frontend.driver.pool.listed_servers) == LARGE)
 
     run(main())
 
@@ -244,16 +249,16 @@
 
 def test_nothing_is_taken_over_of_a_large_list_with_one_unsound_row() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
-        async with node(stub) as balancer:
+        stub = await StubServer(responds_with(http_response())).start()
+        async with running_balancer(stub) as balancer:
             told = told_to_the_module(balancer)
             whole = large(10 * ROWS_PER_TURN)
             whole["instances"][-1]["lifecycle"] = "asleep"
-            balancer.registry.put(whole)
-            await until(lambda: bool(told))
+            balancer.discovery.queue_json(whole)
+            await wait_until(lambda: bool(told))
             assert [update.kind for update in told] == [ListKind.FAILED]
-            assert set(balancer.front.driver.pool.listed_servers) == {server_id_of("s0")}
-            assert (await balancer.ask(request())).body == b"done"
+            assert set(balancer.frontend.driver.pool.listed_servers) == {server_id_of("s0")}
+            assert (await balancer.fetch(http_request())).body == b"done"
 
     run(main())
 
@@ -263,17 +268,23 @@
     """The other discovery's list may be there first: the old one applied after it would undo its news."""
 
     async def main() -> None:
-        stub, other = await Stub(says(answer())).start(), await Registry().start()
-        async with node(stub, settings=with_drain_grace(HOUR)) as balancer:
+        stub, other = (
+            await StubServer(responds_with(http_response())).start(),
+            await StubLongPollServer().start(),
+        )
+        async with running_balancer(stub, settings=with_drain_grace(HOUR)) as balancer:
             told = told_to_the_module(balancer)
             reader = count_rows(balancer)
-            other.put(listing(1, True, instance("s0", stub.address), instance("s1", stub.address)))
-            reader.at[row] = lambda: asyncio.get_running_loop().call_soon(balancer.move, other)
+            other.queue_json(listing(1, True, instance("s0", stub.address), instance("s1", stub.address)))
+            reader.at[row] = lambda: asyncio.get_running_loop().call_soon(balancer.move_discovery, other)
             # One row beyond a whole number of stretches: the last turn is not yet the end.
-            balancer.registry.put(large(10 * ROWS_PER_TURN + 1, state="leaving"))
-            await until(lambda: len(other.paths) == 2)
+            balancer.discovery.queue_json(large(10 * ROWS_PER_TURN + 1, state="leaving"))
+            await wait_until(lambda: len(other.paths) == 2)
             assert [(update.kind, len(update.entries)) for update in told] == [(ListKind.FULL, 2)]
-            assert set(balancer.front.driver.pool.listed_servers) == {server_id_of("s0"), server_id_of("s1")}
+            assert set(balancer.frontend.driver.pool.listed_servers) == {
+                server_id_of("s0"),
+                server_id_of("s1"),
+            }
             assert reader.rows <= row + ROWS_PER_TURN + 2  # given up at the next turn
 
     run(main())
@@ -318,13 +329,15 @@
     async def main() -> None:
         first, second = large(100, generation=7), large(101, generation=8)
         second["instances"][5]["lifecycle"] = "leaving"
-        async with node(told=False, settings=settings(discovery="push"), known=first) as balancer:
-            pool = balancer.front.driver.pool
-            await until(lambda: len(pool.listed_servers) == 100)
+        async with running_balancer(
+            discovery_answers=False, settings=settings(discovery="push"), known=first
+        ) as balancer:
+            pool = balancer.frontend.driver.pool
+            await wait_until(lambda: len(pool.listed_servers) == 100)
             held = {number: id(one) for number, one in pool.listed_servers.items()}
-            balancer.registry.put(second)
-            balancer.registry.put(second)  # the first may go out on a call that was given up
-            await until(lambda: len(pool.listed_servers) == 101)
+            balancer.discovery.queue_json(second)
+            balancer.discovery.queue_json(second)  # the first may go out on a call that was given up
+            await wait_until(lambda: len(pool.listed_servers) == 101)
             changed = {number for number, one in pool.listed_servers.items() if held.get(number) != id(one)}
             assert changed == {server_id_of("l5"), server_id_of("l100")}
 
@@ -333,19 +346,19 @@
 
 def test_the_pool_keeps_connection_state_for_used_servers_alone() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
-        async with node(stub) as balancer:
-            pool = balancer.front.driver.pool
+        stub = await StubServer(responds_with(http_response())).start()
+        async with running_balancer(stub) as balancer:
+            pool = balancer.frontend.driver.pool
             whole = large(LARGE, state="leaving")
             whole["instances"].append(instance("s0", stub.address))
-            balancer.registry.put(whole)
-            await until(lambda: len(pool.listed_servers) == LARGE + 1)
+            balancer.discovery.queue_json(whole)
+            await wait_until(lambda: len(pool.listed_servers) == LARGE + 1)
             for n in range(5):
-                assert (await balancer.ask(request(rid=f"r{n}"))).body == b"done"
+                assert (await balancer.fetch(http_request(request_id=f"r{n}"))).body == b"done"
             assert set(pool.upstreams) == {server_id_of("s0")}
-            balancer.registry.put(listing(3, True, instance("l0", ("127.0.0.1", 9), "leaving")))
-            await until(lambda: len(pool.listed_servers) == 1)
-            assert not pool.upstreams and stub.lost <= len(stub.writers)
+            balancer.discovery.queue_json(listing(3, True, instance("l0", ("127.0.0.1", 9), "leaving")))
+            await wait_until(lambda: len(pool.listed_servers) == 1)
+            assert not pool.upstreams and stub.closed_connections <= len(stub.writers)
 
     run(main())
 
--- a/tests/node/test_program.py
+++ b/tests/node/test_program.py
@@ -19,20 +19,20 @@
 
 from dykeshift.node import config
 from tests.node.stubs import (
-    Caller,
-    Registry,
-    Stub,
-    answer,
+    StubClient,
+    StubLongPollServer,
+    StubServer,
     configuration,
     free_port,
+    http_request,
+    http_response,
     instance,
     listing,
+    never_responds,
     read_message,
-    request,
+    responds_with,
     run,
-    says,
-    silent,
-    until,
+    wait_until,
 )
 
 ROOT = Path(__file__).resolve().parent.parent.parent
@@ -117,14 +117,14 @@
 
 @asynccontextmanager
 async def balancer_process(
-    stub: Stub,
+    stub: StubServer,
     folder: Path,
     stderr: int | None = None,
     longest_deadline: float = 5.0,
     environment: Mapping[str, str] | None = None,
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, int]]:
     """A real balancer process before one upstream; `longest_deadline` of its classes is in seconds."""
-    registry = await Registry().start()
+    registry = await StubLongPollServer().start()
     port, path = free_port(), folder / "config.json"
     known = listing(1, True, instance("s0", stub.address))
     given = {**configuration(registry.address, known), "listen": f"127.0.0.1:{port}"}
@@ -154,27 +154,27 @@
         await asyncio.sleep(0.01)
 
 
-async def connect(port: int) -> Caller:
-    return Caller(*await asyncio.open_connection("127.0.0.1", port))
+async def connect(port: int) -> StubClient:
+    return StubClient(*await asyncio.open_connection("127.0.0.1", port))
 
 
 def test_sigterm_answers_all_that_was_taken_and_exits_0(tmp_path: Path) -> None:
     async def main() -> None:
-        stub = await Stub(silent).start()
+        stub = await StubServer(never_responds).start()
         async with balancer_process(stub, tmp_path) as (process, port):
             kept, busy, probe = await connect(port), await connect(port), await connect(port)
-            assert "200" in (await probe.ask(b"GET /ready HTTP/1.1\r\nHost: b\r\n\r\n")).start
-            busy.writer.write(request(rid="busy"))
-            await until(lambda: len(stub.seen) == 1)
+            assert "200" in (await probe.fetch(b"GET /ready HTTP/1.1\r\nHost: b\r\n\r\n")).start_line
+            busy.writer.write(http_request(request_id="busy"))
+            await wait_until(lambda: len(stub.requests) == 1)
             process.send_signal(signal.SIGTERM)
             await wait_until_not_ready(probe)  # kept, and between requests: served on
             late = await connect(port)  # still comes in, and is answered
-            stub.handler = says(answer(b"late"))
-            assert (await late.ask(request("check", rid="late"))).body == b"late"
+            stub.handler = responds_with(http_response(b"late"))
+            assert (await late.fetch(http_request("check", request_id="late"))).body == b"late"
             for n in range(3):  # this client has nowhere else to go while the others are restarted too
-                got = await kept.ask(request("check", rid=f"kept{n}"))
+                got = await kept.fetch(http_request("check", request_id=f"kept{n}"))
                 assert got.body == b"late" and "connection" not in got.headers
-            stub.writers[0].write(answer(b"at last"))
+            stub.writers[0].write(http_response(b"at last"))
             assert (await read_message(busy.reader)).body == b"at last"
             for caller in (kept, busy, probe, late):
                 caller.writer.close()
@@ -183,22 +183,22 @@
     run(main())
 
 
-async def wait_until_not_ready(probe: Caller) -> None:
-    while "200" in (await probe.ask(b"GET /ready HTTP/1.1\r\nHost: b\r\n\r\n")).start:
+async def wait_until_not_ready(probe: StubClient) -> None:
+    while "200" in (await probe.fetch(b"GET /ready HTTP/1.1\r\nHost: b\r\n\r\n")).start_line:
         await asyncio.sleep(0.01)
 
 
 def test_sigterm_answers_and_lets_go_of_those_who_stay_before_it_is_killed(tmp_path: Path) -> None:
     async def main() -> None:
-        stub = await Stub(silent).start()
+        stub = await StubServer(never_responds).start()
         async with balancer_process(stub, tmp_path, stderr=asyncio.subprocess.PIPE) as (process, port):
             idle, waiting = await connect(port), await connect(port)
-            assert "200" in (await idle.ask(b"GET /ready HTTP/1.1\r\nHost: b\r\n\r\n")).start
+            assert "200" in (await idle.fetch(b"GET /ready HTTP/1.1\r\nHost: b\r\n\r\n")).start_line
             process.send_signal(signal.SIGTERM)
             await wait_until_not_ready(idle)
             # It would wait for longer than the program lives.
-            got = await waiting.ask(request("send", rid="waiting", deadline=5000))
-            assert int(got.start.split()[1]) >= 500 and got.headers["connection"] == "close"
+            got = await waiting.fetch(http_request("send", request_id="waiting", deadline_ms=5000))
+            assert int(got.start_line.split()[1]) >= 500 and got.headers["connection"] == "close"
             assert await idle.reader.read() == b""
             assert process.stderr is not None
             told = (await process.stderr.read()).decode()
@@ -210,7 +210,7 @@
 
 def test_sigterm_does_not_wait_for_a_request_that_never_comes_whole(tmp_path: Path) -> None:
     async def main() -> None:
-        stub = await Stub(silent).start()
+        stub = await StubServer(never_responds).start()
         async with balancer_process(stub, tmp_path) as (process, port):
             half = await connect(port)
             half.writer.write(b"POST /api HTTP/1.1\r\nHost: b\r\n")
@@ -224,7 +224,7 @@
 
 def test_sigterm_with_nothing_to_do_exits_0(tmp_path: Path) -> None:
     async def main() -> None:
-        stub = await Stub(silent).start()
+        stub = await StubServer(never_responds).start()
         async with balancer_process(stub, tmp_path) as (process, _):
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
@@ -235,7 +235,7 @@
 # ---- a new configuration ----
 
 
-def switch_discovery(folder: Path, registry: Registry, process: asyncio.subprocess.Process) -> None:
+def switch_discovery(folder: Path, registry: StubLongPollServer, process: asyncio.subprocess.Process) -> None:
     path = folder / "config.json"
     given = json.loads(path.read_text())
     path.write_text(json.dumps({**given, "discovery": "%s:%d" % registry.address}))
@@ -244,26 +244,29 @@
 
 def test_sighup_moves_to_the_new_discovery_and_keeps_all_else(tmp_path: Path) -> None:
     async def main() -> None:
-        stub, added = await Stub(silent).start(), await Stub(says(answer(b"added"))).start()
-        second, third = await Registry().start(), await Registry().start()
+        stub, added = (
+            await StubServer(never_responds).start(),
+            await StubServer(responds_with(http_response(b"added"))).start(),
+        )
+        second, third = await StubLongPollServer().start(), await StubLongPollServer().start()
         async with balancer_process(stub, tmp_path) as (process, port):
             busy, kept = await connect(port), await connect(port)
-            busy.writer.write(request(rid="busy"))
-            await until(lambda: len(stub.seen) == 1)
+            busy.writer.write(http_request(request_id="busy"))
+            await wait_until(lambda: len(stub.requests) == 1)
             switch_discovery(tmp_path, second, process)
-            await until(lambda: second.paths == ["/v1/endpoints"])  # whole: generations may not compare
+            await wait_until(lambda: second.paths == ["/v1/endpoints"])  # whole: generations may not compare
             switch_discovery(tmp_path, third, process)  # while the first such call is open
-            await until(lambda: third.paths == ["/v1/endpoints"])
+            await wait_until(lambda: third.paths == ["/v1/endpoints"])
             # Lower than the generation known before, and followed nevertheless.
-            third.put(listing(0, True, instance("s0", stub.address), instance("s1", added.address)))
-            await until(lambda: len(third.paths) == 2)
+            third.queue_json(listing(0, True, instance("s0", stub.address), instance("s1", added.address)))
+            await wait_until(lambda: len(third.paths) == 2)
             assert third.paths[1].startswith("/v1/endpoints?from=0&")
-            stub.writers[0].write(answer(b"went on"))
+            stub.writers[0].write(http_response(b"went on"))
             assert (await read_message(busy.reader)).body == b"went on"
-            stub.handler = says(answer(b"warm"))
-            got = [(await kept.ask(request("check", rid=f"r{n}"))).body for n in range(20)]
+            stub.handler = responds_with(http_response(b"warm"))
+            got = [(await kept.fetch(http_request("check", request_id=f"r{n}"))).body for n in range(20)]
             assert {b"warm", b"added"} == set(got)
-            assert stub.lost == 0  # connections from before are kept
+            assert stub.closed_connections == 0  # connections from before are kept
             assert len(second.paths) == 1
             process.send_signal(signal.SIGHUP)  # the same discovery: nothing changes
             for caller in (busy, kept):
@@ -277,18 +280,18 @@
 
 def test_a_sighup_while_the_program_stops_harms_nothing(tmp_path: Path) -> None:
     async def main() -> None:
-        stub, second = await Stub(silent).start(), await Registry().start()
+        stub, second = await StubServer(never_responds).start(), await StubLongPollServer().start()
         async with balancer_process(stub, tmp_path) as (process, port):
             busy, probe = await connect(port), await connect(port)
-            busy.writer.write(request(rid="busy"))
-            await until(lambda: len(stub.seen) == 1)
+            busy.writer.write(http_request(request_id="busy"))
+            await wait_until(lambda: len(stub.requests) == 1)
             process.send_signal(signal.SIGTERM)
             await wait_until_not_ready(probe)
             switch_discovery(tmp_path, second, process)
-            await until(lambda: second.paths == ["/v1/endpoints"])
+            await wait_until(lambda: second.paths == ["/v1/endpoints"])
             (tmp_path / "config.json").write_text("{")
             process.send_signal(signal.SIGHUP)
-            stub.writers[0].write(answer(b"at last"))
+            stub.writers[0].write(http_response(b"at last"))
             assert (await read_message(busy.reader)).body == b"at last"
             for caller in (busy, probe):
                 caller.writer.close()
@@ -325,8 +328,8 @@
     """As the deploy file starts it; the signal comes as soon as the interpreter runs."""
 
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
-        registry = await Registry().start()
+        stub = await StubServer(responds_with(http_response())).start()
+        registry = await StubLongPollServer().start()
         port, path = free_port(), tmp_path / "config.json"
         known = listing(1, True, instance("s0", stub.address))
         path.write_text(json.dumps({**configuration(registry.address, known), "listen": f"127.0.0.1:{port}"}))
@@ -340,13 +343,13 @@
         )
         try:
             runs = "\0".join([sys.executable, "-m", "dykeshift.node", ""]).encode()  # no longer the shell
-            await until(lambda: Path(f"/proc/{process.pid}/cmdline").read_bytes() == runs)
+            await wait_until(lambda: Path(f"/proc/{process.pid}/cmdline").read_bytes() == runs)
             process.send_signal(signal.SIGHUP)
-            await until(lambda: bool(registry.paths) or process.returncode is not None)
+            await wait_until(lambda: bool(registry.paths) or process.returncode is not None)
             assert process.returncode is None
             await wait_until_listening(port)
             caller = await connect(port)
-            assert "200" in (await caller.ask(request("check"))).start
+            assert "200" in (await caller.fetch(http_request("check"))).start_line
             caller.writer.close()
         finally:
             if process.returncode is None:
@@ -358,8 +361,8 @@
 
 def test_sighup_with_a_bad_file_is_one_line_and_changes_nothing(tmp_path: Path) -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
-        second = await Registry().start()
+        stub = await StubServer(responds_with(http_response())).start()
+        second = await StubLongPollServer().start()
         async with balancer_process(stub, tmp_path, stderr=asyncio.subprocess.PIPE) as (process, port):
             path, caller = tmp_path / "config.json", await connect(port)
             sound = path.read_text()
@@ -369,9 +372,11 @@
                 process.send_signal(signal.SIGHUP)
                 line = (await process.stderr.readline()).decode()
                 assert "the old configuration is kept" in line
-                assert "200" in (await caller.ask(request("check", rid=str(len(line))))).start
+                assert (
+                    "200" in (await caller.fetch(http_request("check", request_id=str(len(line))))).start_line
+                )
             path.write_text(sound)
             switch_discovery(tmp_path, second, process)
-            await until(lambda: second.paths == ["/v1/endpoints"])
+            await wait_until(lambda: second.paths == ["/v1/endpoints"])
 
     run(main())
--- a/tests/node/test_settings_watch.py
+++ b/tests/node/test_settings_watch.py
@@ -15,19 +15,19 @@
 from dykeshift.node.__main__ import start_settings_watch
 from dykeshift.node.upstream import MAX_IDLE_KEEPALIVE_SHARE
 from tests.node.stubs import (
-    Node,
-    Registry,
-    Stub,
-    answer,
-    node,
+    RunningBalancer,
+    StubLongPollServer,
+    StubServer,
+    http_request,
+    http_response,
+    never_responds,
     read_message,
-    request,
+    responds_with,
     run,
-    says,
+    running_balancer,
     service,
     settings,
-    silent,
-    until,
+    wait_until,
 )
 
 NOTHING = "/v1/settings?from=0&hold_ms=0"  # the first call of a balancer that was started without a version
@@ -37,48 +37,50 @@
     return {"version": version, "settings": settings(**changes)}
 
 
-def at(agent: Registry) -> str:
+def at(agent: StubLongPollServer) -> str:
     return "%s:%d" % agent.address
 
 
-async def started_agent(*documents: dict[str, Any]) -> Registry:
+async def started_agent(*documents: dict[str, Any]) -> StubLongPollServer:
     """An agent that answers its first calls with these, and holds the others."""
-    agent = await Registry().start()
+    agent = await StubLongPollServer().start()
     for one in documents:
-        agent.put(one)
+        agent.queue_json(one)
     return agent
 
 
-def classes(balancer: Node) -> list[str]:
-    return [c.name for c in balancer.front.reader.classes]
+def classes(balancer: RunningBalancer) -> list[str]:
+    return [c.name for c in balancer.frontend.request_reader.classes]
 
 
 def test_a_new_version_is_in_force_for_new_requests_and_open_ones_end_as_they_began() -> None:
     async def main() -> None:
-        stub, agent = await Stub(silent).start(), await started_agent({"version": 0})
-        async with node(stub, control=at(agent)) as balancer:
+        stub, agent = await StubServer(never_responds).start(), await started_agent({"version": 0})
+        async with running_balancer(stub, control=at(agent)) as balancer:
             assert agent.paths[0] == NOTHING
-            busy, kept = await balancer.open(), await balancer.open()
-            busy.writer.write(request("send", rid="busy"))
-            await until(lambda: len(stub.seen) == 1)
-            agent.put(document(4, services=[service("fresh", "pure"), service("check", "pure")]))
-            await until(lambda: classes(balancer) == ["fresh", "check"])
-            stub.handler = says(answer(b"new"))
-            assert (await kept.ask(request("fresh", rid="r1", method="GET"))).body == b"new"
-            assert "400" in (await kept.ask(request("send", rid="r2"))).start  # as an unknown class
-            stub.writers[0].write(answer(b"went on"))
+            busy, kept = await balancer.connect(), await balancer.connect()
+            busy.writer.write(http_request("send", request_id="busy"))
+            await wait_until(lambda: len(stub.requests) == 1)
+            agent.queue_json(document(4, services=[service("fresh", "pure"), service("check", "pure")]))
+            await wait_until(lambda: classes(balancer) == ["fresh", "check"])
+            stub.handler = responds_with(http_response(b"new"))
+            assert (await kept.fetch(http_request("fresh", request_id="r1", method="GET"))).body == b"new"
+            assert (
+                "400" in (await kept.fetch(http_request("send", request_id="r2"))).start_line
+            )  # as an unknown class
+            stub.writers[0].write(http_response(b"went on"))
             assert (await read_message(busy.reader)).body == b"went on"
-            assert len(stub.seen) == 2  # nothing was sent twice
-            await until(lambda: agent.paths[-1] == "/v1/settings?from=4&hold_ms=2000")
+            assert len(stub.requests) == 2  # nothing was sent twice
+            await wait_until(lambda: agent.paths[-1] == "/v1/settings?from=4&hold_ms=2000")
 
     run(main())
 
 
 def test_a_new_process_has_its_agents_version_before_it_listens() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await StubServer(responds_with(http_response())).start()
         agent = await started_agent(document(9, services=[service("fresh", "pure")]))
-        async with node(stub, control=at(agent), settings_version=7) as balancer:
+        async with running_balancer(stub, control=at(agent), settings_version=7) as balancer:
             assert agent.paths[0] == "/v1/settings?from=7&hold_ms=0"
             assert classes(balancer) == ["fresh"]
 
@@ -87,11 +89,11 @@
 
 def test_a_new_process_comes_to_the_sound_version_below_a_bad_one_before_it_listens() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await StubServer(responds_with(http_response())).start()
         agent = await started_agent(
             document(9, services=[]), document(8, services=[service("fresh", "pure")])
         )
-        async with node(stub, control=at(agent)) as balancer:
+        async with running_balancer(stub, control=at(agent)) as balancer:
             assert classes(balancer) == ["fresh"]
             assert agent.paths[:2] == [NOTHING, "/v1/settings?before=9"]
 
@@ -102,26 +104,29 @@
     monkeypatch.setattr(settings_watch, "STARTUP_WAIT_S", 0.05)
 
     async def main() -> None:
-        stub, agent = await Stub(says(answer())).start(), await started_agent()
-        async with node(stub, control=at(agent)) as balancer:
-            assert (await balancer.ask(request("check"))).body == b"done"
-            agent.put(document(1, services=[service("fresh", "pure")]))
-            await until(lambda: classes(balancer) == ["fresh"])
+        stub, agent = await StubServer(responds_with(http_response())).start(), await started_agent()
+        async with running_balancer(stub, control=at(agent)) as balancer:
+            assert (await balancer.fetch(http_request("check"))).body == b"done"
+            agent.queue_json(document(1, services=[service("fresh", "pure")]))
+            await wait_until(lambda: classes(balancer) == ["fresh"])
 
     run(main())
 
 
 def test_a_bad_version_is_one_line_and_changes_nothing(caplog: pytest.LogCaptureFixture) -> None:
     async def main() -> None:
-        stub, agent = await Stub(says(answer())).start(), await started_agent({"version": 0})
-        async with node(stub, control=at(agent)) as balancer:
-            reader, module = balancer.front.reader, balancer.front.driver.balancer
+        stub, agent = (
+            await StubServer(responds_with(http_response())).start(),
+            await started_agent({"version": 0}),
+        )
+        async with running_balancer(stub, control=at(agent)) as balancer:
+            reader, module = balancer.frontend.request_reader, balancer.frontend.driver.decision_module
             before = module.settings
-            agent.put(document(5, services=[service("check", "pure"), service("check", "pure")]))
-            agent.put({"version": 0})  # to the search below it
-            await until(lambda: agent.paths[-1] == "/v1/settings?from=5&hold_ms=2000")
-            assert balancer.front.reader is reader and module.settings is before
-            assert "200" in (await balancer.ask(request("check"))).start
+            agent.queue_json(document(5, services=[service("check", "pure"), service("check", "pure")]))
+            agent.queue_json({"version": 0})  # to the search below it
+            await wait_until(lambda: agent.paths[-1] == "/v1/settings?from=5&hold_ms=2000")
+            assert balancer.frontend.request_reader is reader and module.settings is before
+            assert "200" in (await balancer.fetch(http_request("check"))).start_line
             errors = [r.getMessage() for r in caplog.records if r.levelno >= logging.ERROR]
             assert errors == [
                 "settings version 5 is turned down, version 0 stays: settings.services[1].name is 'check', "
@@ -133,16 +138,19 @@
 
 @pytest.mark.parametrize(
     "bad",
-    [answer(b"", "503 None"), answer(b"{"), answer(b"[" * 9000), answer(b"7")],
+    [http_response(b"", "503 None"), http_response(b"{"), http_response(b"[" * 9000), http_response(b"7")],
     ids=["status", "half", "nested", "number"],
 )
 def test_what_is_no_document_is_asked_again_after_a_pause(bad: bytes) -> None:
     async def main() -> None:
-        stub, agent = await Stub(says(answer())).start(), await started_agent({"version": 0})
-        async with node(stub, control=at(agent)) as balancer:
-            agent.replies.put_nowait(bad)
-            agent.put(document(2, services=[service("fresh", "pure")]))
-            await until(lambda: classes(balancer) == ["fresh"])
+        stub, agent = (
+            await StubServer(responds_with(http_response())).start(),
+            await started_agent({"version": 0}),
+        )
+        async with running_balancer(stub, control=at(agent)) as balancer:
+            agent.responses.put_nowait(bad)
+            agent.queue_json(document(2, services=[service("fresh", "pure")]))
+            await wait_until(lambda: classes(balancer) == ["fresh"])
             assert agent.paths[2] == NOTHING  # not held: the agent may have news
 
     run(main())
@@ -155,26 +163,29 @@
     monkeypatch.setattr(settings_watch, "ANSWER_GRACE_S", 0.05)
 
     async def main() -> None:
-        stub, agent = await Stub(says(answer())).start(), await started_agent({"version": 0})
-        async with node(stub, control=at(agent)) as balancer:
-            await until(lambda: len(agent.paths) == 2)
-            await until(lambda: agent.paths[-1] == NOTHING)  # the held call had no answer
-            assert "200" in (await balancer.ask(request("check"))).start
-            agent.replies = asyncio.Queue()  # calls from before stay without an answer
-            await until(lambda: len(agent.paths) == 4)
-            agent.put(document(3, services=[service("fresh", "pure")]))
-            await until(lambda: classes(balancer) == ["fresh"])
+        stub, agent = (
+            await StubServer(responds_with(http_response())).start(),
+            await started_agent({"version": 0}),
+        )
+        async with running_balancer(stub, control=at(agent)) as balancer:
+            await wait_until(lambda: len(agent.paths) == 2)
+            await wait_until(lambda: agent.paths[-1] == NOTHING)  # the held call had no answer
+            assert "200" in (await balancer.fetch(http_request("check"))).start_line
+            agent.responses = asyncio.Queue()  # calls from before stay without an answer
+            await wait_until(lambda: len(agent.paths) == 4)
+            agent.queue_json(document(3, services=[service("fresh", "pure")]))
+            await wait_until(lambda: classes(balancer) == ["fresh"])
 
     run(main())
 
 
 def test_an_agent_that_does_not_hold_calls_is_not_asked_without_end() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await StubServer(responds_with(http_response())).start()
         agent = await started_agent(*({"version": 0} for _ in range(100)))
-        async with node(stub, control=at(agent)) as balancer:
+        async with running_balancer(stub, control=at(agent)) as balancer:
             for n in range(30):
-                assert "200" in (await balancer.ask(request("check", rid=f"r{n}"))).start
+                assert "200" in (await balancer.fetch(http_request("check", request_id=f"r{n}"))).start_line
             assert len(agent.paths) <= 2
 
     run(main())
@@ -182,31 +193,39 @@
 
 def test_an_unsafe_request_that_may_still_run_is_not_taken_again_under_a_class_made_safe() -> None:
     async def main() -> None:
-        stub, agent = await Stub(silent).start(), await started_agent({"version": 0})
+        stub, agent = await StubServer(never_responds).start(), await started_agent({"version": 0})
         bounds = {**settings()["bounds"], "cancelling": False}
-        async with node(stub, control=at(agent), settings=settings(bounds=bounds)) as balancer:
-            leaver = await balancer.open()
-            leaver.writer.write(request("send", rid="once"))
-            await until(lambda: len(stub.seen) == 1)
+        async with running_balancer(stub, control=at(agent), settings=settings(bounds=bounds)) as balancer:
+            leaver = await balancer.connect()
+            leaver.writer.write(http_request("send", request_id="once"))
+            await wait_until(lambda: len(stub.requests) == 1)
             leaver.writer.close()
-            await until(lambda: all(job.closed for job in balancer.front.driver.jobs.values()))
-            agent.put(document(2, services=[service("send", "pure")], bounds=bounds))
-            await until(lambda: classes(balancer) == ["send"])
-            assert "409" in (await balancer.ask(request("send", rid="once", method="GET"))).start
-            assert len(stub.seen) == 1
+            await wait_until(
+                lambda: all(job.closed for job in balancer.frontend.driver.open_requests.values())
+            )
+            agent.queue_json(document(2, services=[service("send", "pure")], bounds=bounds))
+            await wait_until(lambda: classes(balancer) == ["send"])
+            assert (
+                "409"
+                in (await balancer.fetch(http_request("send", request_id="once", method="GET"))).start_line
+            )
+            assert len(stub.requests) == 1
 
     run(main())
 
 
 def test_times_of_connections_and_drains_are_those_of_the_new_settings() -> None:
     async def main() -> None:
-        stub, agent = await Stub(says(answer())).start(), await started_agent({"version": 0})
-        async with node(stub, control=at(agent)) as balancer:
+        stub, agent = (
+            await StubServer(responds_with(http_response())).start(),
+            await started_agent({"version": 0}),
+        )
+        async with running_balancer(stub, control=at(agent)) as balancer:
             bounds = {**settings()["bounds"], "keepaliveNs": 5_000_000_000, "connectTimeoutNs": 70_000_000}
             obligations = {**settings()["obligations"], "drainGraceNs": 90_000_000}
-            agent.put(document(2, bounds=bounds, obligations=obligations))
-            pool = balancer.front.driver.pool
-            await until(lambda: pool.connect_timeout_s == 0.07)
+            agent.queue_json(document(2, bounds=bounds, obligations=obligations))
+            pool = balancer.frontend.driver.pool
+            await wait_until(lambda: pool.connect_timeout_s == 0.07)
             assert pool.max_idle_s == 5.0 * MAX_IDLE_KEEPALIVE_SHARE
             assert balancer.reload.discovery.drain_grace_s == 0.09
 
@@ -215,18 +234,21 @@
 
 def test_settings_that_the_module_fails_over_change_nothing(caplog: pytest.LogCaptureFixture) -> None:
     async def main() -> None:
-        stub, agent = await Stub(says(answer())).start(), await started_agent({"version": 0})
-        async with node(stub, control=at(agent)) as balancer:
-            module, reader = balancer.front.driver.balancer, balancer.front.reader
+        stub, agent = (
+            await StubServer(responds_with(http_response())).start(),
+            await started_agent({"version": 0}),
+        )
+        async with running_balancer(stub, control=at(agent)) as balancer:
+            module, reader = balancer.frontend.driver.decision_module, balancer.frontend.request_reader
 
             def fail(now: int, settings: Settings) -> list[Action]:
                 raise ZeroDivisionError
 
             module.on_settings = fail  # type: ignore[method-assign]
-            agent.put(document(2, services=[service("fresh", "pure")]))
-            agent.put({"version": 0})
-            await until(lambda: agent.paths[-1] == "/v1/settings?from=2&hold_ms=2000")
-            assert balancer.front.reader is reader
+            agent.queue_json(document(2, services=[service("fresh", "pure")]))
+            agent.queue_json({"version": 0})
+            await wait_until(lambda: agent.paths[-1] == "/v1/settings?from=2&hold_ms=2000")
+            assert balancer.frontend.request_reader is reader
             assert "version 2 is turned down, version 0 stays: the decision module failed" in caplog.text
 
     run(main())
@@ -234,10 +256,10 @@
 
 def test_nothing_is_called_where_the_configuration_names_no_control() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
-        async with node(stub) as balancer:
-            assert balancer.given.control is None and balancer.given.settings_version == 0
-            made = start_settings_watch(balancer.given, None)  # type: ignore[arg-type]
+        stub = await StubServer(responds_with(http_response())).start()
+        async with running_balancer(stub) as balancer:
+            assert balancer.configuration.control is None and balancer.configuration.settings_version == 0
+            made = start_settings_watch(balancer.configuration, None)  # type: ignore[arg-type]
             assert made is None
 
     run(main())
@@ -247,11 +269,14 @@
     """As an agent may send it in chunks."""
 
     async def main() -> None:
-        stub, agent = await Stub(says(answer())).start(), await started_agent({"version": 0})
-        async with node(stub, control=at(agent)) as balancer:
+        stub, agent = (
+            await StubServer(responds_with(http_response())).start(),
+            await started_agent({"version": 0}),
+        )
+        async with running_balancer(stub, control=at(agent)) as balancer:
             body = json.dumps(document(2, services=[service("fresh", "pure")])).encode()
             chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n"
-            agent.replies.put_nowait(chunked % (len(body), body))
-            await until(lambda: classes(balancer) == ["fresh"])
+            agent.responses.put_nowait(chunked % (len(body), body))
+            await wait_until(lambda: classes(balancer) == ["fresh"])
 
     run(main())
--- a/tests/node/test_standing_terms.py
+++ b/tests/node/test_standing_terms.py
@@ -21,24 +21,24 @@
 from dykeshift.node import listing as list_reading
 from dykeshift.node.discovery import MAX_LIST_BYTES
 from tests.node.stubs import (
-    Gate,
+    ConnectGate,
     Message,
-    Node,
-    Stub,
-    allowing,
-    answer,
+    RunningBalancer,
+    StubServer,
     configuration,
     free_port,
+    http_request,
+    http_response,
     instance,
     listing,
-    node,
+    never_responds,
     read_message,
-    request,
+    responds_with,
     run,
-    says,
+    running_balancer,
     settings,
-    silent,
-    until,
+    settings_with_bounds,
+    wait_until,
 )
 
 # ---- no attempt begins after the client has left ----
@@ -56,9 +56,9 @@
     timers: list[SetTimer] = field(default_factory=list)
 
     @staticmethod
-    def of(balancer: Node) -> Departures:
-        seen, driver = Departures(), balancer.front.driver
-        told, do = driver.balancer.on_client_gone, driver._do
+    def of(balancer: RunningBalancer) -> Departures:
+        seen, driver = Departures(), balancer.frontend.driver
+        told, do = driver.decision_module.on_client_gone, driver._execute
 
         def on_client_gone(now: int, request_id: str) -> list[Action]:
             seen.gone.append(request_id.partition("/")[0])
@@ -68,8 +68,8 @@
             seen.timers += [a for a in actions if isinstance(a, SetTimer) and a.token.startswith("r:")]
             do(actions)
 
-        driver.balancer.on_client_gone = on_client_gone  # type: ignore[method-assign]
-        driver._do = note  # type: ignore[method-assign]
+        driver.decision_module.on_client_gone = on_client_gone  # type: ignore[method-assign]
+        driver._execute = note  # type: ignore[method-assign]
         return seen
 
     def waits(self, rid: str) -> int:
@@ -80,7 +80,7 @@
 class Visitor:
     """A client whose close is with the system as soon as the call returns, whatever the loop does."""
 
-    def __init__(self, balancer: Node, data: bytes) -> None:
+    def __init__(self, balancer: RunningBalancer, data: bytes) -> None:
         self.socket = socket.create_connection(balancer.address)
         self.socket.sendall(data)
 
@@ -90,31 +90,31 @@
         self.socket.close()
 
 
-def received(*stubs: Stub) -> list[str]:
-    return [message.headers["x-request-id"] for stub in stubs for message in stub.seen]
+def received(*stubs: StubServer) -> list[str]:
+    return [message.headers["x-request-id"] for stub in stubs for message in stub.requests]
 
 
-async def all_quiet(balancer: Node) -> None:
+async def all_quiet(balancer: RunningBalancer) -> None:
     """Every attempt has come back to the module, and nothing is left of the requests."""
-    driver = balancer.front.driver
-    await until(lambda: not driver.jobs and not driver.pool.connect_tasks)
-    assert not driver.balancer.open
-    assert all(server.in_flight == 0 for server in driver.balancer.servers.values())
+    driver = balancer.frontend.driver
+    await wait_until(lambda: not driver.open_requests and not driver.pool.connect_tasks)
+    assert not driver.decision_module.open
+    assert all(server.in_flight == 0 for server in driver.decision_module.servers.values())
 
 
-async def warm(balancer: Node, *stubs: Stub) -> None:
+async def warm(balancer: RunningBalancer, *stubs: StubServer) -> None:
     """All servers have been heard from and have a connection; nothing is remembered of it."""
     count = 0
-    while not all(stub.seen for stub in stubs) or count < 10 * len(stubs):
+    while not all(stub.requests for stub in stubs) or count < 10 * len(stubs):
         count += 1
-        assert "200" in (await balancer.ask(request("send", rid=f"w{count}"))).start
-    await until(lambda: not balancer.front.clients)
+        assert "200" in (await balancer.fetch(http_request("send", request_id=f"w{count}"))).start_line
+    await wait_until(lambda: not balancer.frontend.connections)
     for stub in stubs:
-        stub.seen.clear()
+        stub.requests.clear()
 
 
-async def turns_away(_: Stub, __: Message, writer: asyncio.StreamWriter) -> None:
-    writer.write(answer(b"", "503 Service Unavailable", X_Not_Run="1"))
+async def turns_away(_: StubServer, __: Message, writer: asyncio.StreamWriter) -> None:
+    writer.write(http_response(b"", "503 Service Unavailable", X_Not_Run="1"))
 
 
 @CLOSES
@@ -124,21 +124,21 @@
     klass: str, cancelling: bool, reset: bool
 ) -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
-        async with node(stub, settings=allowing(cancelling=cancelling)) as balancer:
-            seen, pool = Departures.of(balancer), balancer.front.driver.pool
+        stub = await StubServer(responds_with(http_response())).start()
+        async with running_balancer(stub, settings=settings_with_bounds(cancelling=cancelling)) as balancer:
+            seen, pool = Departures.of(balancer), balancer.frontend.driver.pool
             pool.reuse_delay_s = 0.2
-            assert "200" in (await balancer.ask(request(klass, rid="first"))).start
-            await until(lambda: not balancer.front.clients)
-            visitor = Visitor(balancer, request(klass, rid="left"))
-            await until(lambda: bool(balancer.front.driver.jobs))
+            assert "200" in (await balancer.fetch(http_request(klass, request_id="first"))).start_line
+            await wait_until(lambda: not balancer.frontend.connections)
+            visitor = Visitor(balancer, http_request(klass, request_id="left"))
+            await wait_until(lambda: bool(balancer.frontend.driver.open_requests))
             (upstream,) = pool.upstreams.values()
             assert pool.connection_count == 1 and not upstream.idle_connections  # taken out, and waited for
             visitor.leave(reset)
-            await until(lambda: seen.gone == ["left"])
-            await until(lambda: len(upstream.idle_connections) == 1)  # it has rested
+            await wait_until(lambda: seen.gone == ["left"])
+            await wait_until(lambda: len(upstream.idle_connections) == 1)  # it has rested
             await all_quiet(balancer)
-            assert "200" in (await balancer.ask(request(klass, rid="next"))).start
+            assert "200" in (await balancer.fetch(http_request(klass, request_id="next"))).start_line
             assert received(stub) == ["first", "next"] and len(stub.writers) == 1
 
     run(main())
@@ -151,25 +151,30 @@
     klass: str, cancelling: bool, reset: bool
 ) -> None:
     async def main() -> None:
-        stub = await Stub(silent).start()
-        async with node(stub, settings=allowing(cancelling=cancelling)) as balancer:
-            seen, driver = Departures.of(balancer), balancer.front.driver
-            callers = [await balancer.open() for _ in range(20)]
+        stub = await StubServer(never_responds).start()
+        async with running_balancer(stub, settings=settings_with_bounds(cancelling=cancelling)) as balancer:
+            seen, driver = Departures.of(balancer), balancer.frontend.driver
+            callers = [await balancer.connect() for _ in range(20)]
             for n, caller in enumerate(callers):
-                caller.writer.write(request("send", rid=f"busy{n}"))
-            await until(lambda: len(driver.jobs) == len(callers))
-            await until(lambda: len(stub.seen) == sum(job.out for job in driver.jobs.values()))
-            busy = len(stub.seen)
+                caller.writer.write(http_request("send", request_id=f"busy{n}"))
+            await wait_until(lambda: len(driver.open_requests) == len(callers))
+            await wait_until(
+                lambda: len(stub.requests)
+                == sum(job.attempts_in_flight for job in driver.open_requests.values())
+            )
+            busy = len(stub.requests)
             assert 0 < busy < len(callers)  # the others are held
-            visitor = Visitor(balancer, request(klass, rid="left"))
-            await until(lambda: any(job.incoming.id == "left" for job in driver.jobs.values()))
+            visitor = Visitor(balancer, http_request(klass, request_id="left"))
+            await wait_until(
+                lambda: any(job.client_request.id == "left" for job in driver.open_requests.values())
+            )
             visitor.leave(reset)
-            await until(lambda: "left" in seen.gone)
+            await wait_until(lambda: "left" in seen.gone)
             set_before = len(seen.timers)
-            stub.handler = says(answer())
+            stub.handler = responds_with(http_response())
             for writer in stub.writers[:]:
-                writer.write(answer())
-            await until(lambda: len(seen.timers) > set_before or not driver.jobs)
+                writer.write(http_response())
+            await wait_until(lambda: len(seen.timers) > set_before or not driver.open_requests)
             for caller in callers:
                 await read_message(caller.reader)
                 caller.writer.close()
@@ -188,23 +193,23 @@
     """The first attempt was turned away unseen, so that every class may go on to another server."""
 
     async def main() -> None:
-        stubs = [await Stub(turns_away).start() for _ in range(2)]
-        async with node(*stubs, settings=allowing(cancelling=cancelling)) as balancer:
-            seen, pool = Departures.of(balancer), balancer.front.driver.pool
-            gate = Gate(pool)
-            visitor = Visitor(balancer, request(klass, rid="left"))
-            await until(lambda: gate.waiting == 1)
+        stubs = [await StubServer(turns_away).start() for _ in range(2)]
+        async with running_balancer(*stubs, settings=settings_with_bounds(cancelling=cancelling)) as balancer:
+            seen, pool = Departures.of(balancer), balancer.frontend.driver.pool
+            gate = ConnectGate(pool)
+            visitor = Visitor(balancer, http_request(klass, request_id="left"))
+            await wait_until(lambda: gate.waiting == 1)
             gate.opened.set()
             gate.opened.clear()  # lets the first one by
-            await until(lambda: gate.waiting == 2)
+            await wait_until(lambda: gate.waiting == 2)
             assert received(*stubs) == ["left"]
             visitor.leave(reset)
-            await until(lambda: seen.gone == ["left"])
+            await wait_until(lambda: seen.gone == ["left"])
             gate.opened.set()
             await all_quiet(balancer)
             for stub in stubs:
-                stub.handler = says(answer())
-            assert "200" in (await balancer.ask(request(klass, rid="next"))).start
+                stub.handler = responds_with(http_response())
+            assert "200" in (await balancer.fetch(http_request(klass, request_id="next"))).start_line
             assert sorted(received(*stubs)) == ["left", "next"]
 
     run(main())
@@ -217,24 +222,24 @@
     klass: str, cancelling: bool, reset: bool
 ) -> None:
     async def main() -> None:
-        stubs = [await Stub(says(answer())).start() for _ in range(2)]
-        async with node(*stubs, settings=allowing(cancelling=cancelling)) as balancer:
+        stubs = [await StubServer(responds_with(http_response())).start() for _ in range(2)]
+        async with running_balancer(*stubs, settings=settings_with_bounds(cancelling=cancelling)) as balancer:
             await warm(balancer, *stubs)
-            seen, pool = Departures.of(balancer), balancer.front.driver.pool
+            seen, pool = Departures.of(balancer), balancer.frontend.driver.pool
             for stub in stubs:
-                stub.handler = silent
+                stub.handler = never_responds
             for upstream in pool.upstreams.values():
                 pool._close_idle(upstream)
-            await until(lambda: pool.connection_count == 0)
-            gate = Gate(pool)
-            visitor = Visitor(balancer, request(klass, rid="left", deadline=2000))
-            await until(lambda: gate.waiting == 1)
+            await wait_until(lambda: pool.connection_count == 0)
+            gate = ConnectGate(pool)
+            visitor = Visitor(balancer, http_request(klass, request_id="left", deadline_ms=2000))
+            await wait_until(lambda: gate.waiting == 1)
             gate.opened.set()
             gate.opened.clear()
-            await until(lambda: gate.waiting == 2)  # its answer does not come, so a copy is begun
+            await wait_until(lambda: gate.waiting == 2)  # its answer does not come, so a copy is begun
             assert received(*stubs) == ["left"]
             visitor.leave(reset)
-            await until(lambda: seen.gone == ["left"])
+            await wait_until(lambda: seen.gone == ["left"])
             gate.opened.set()
             await all_quiet(balancer)
             assert received(*stubs) == ["left"]
@@ -279,18 +284,18 @@
     """Its next look would find a server with room and a connection that is up."""
 
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
-        async with node(stub) as balancer:
-            seen, driver = Departures.of(balancer), balancer.front.driver
+        stub = await StubServer(responds_with(http_response())).start()
+        async with running_balancer(stub) as balancer:
+            seen, driver = Departures.of(balancer), balancer.frontend.driver
             driver.pool.reuse_delay_s = 0.0
-            assert "200" in (await balancer.ask(request("send", rid="warm"))).start
-            (server,) = driver.balancer.servers.values()
+            assert "200" in (await balancer.fetch(http_request("send", request_id="warm"))).start_line
+            (server,) = driver.decision_module.servers.values()
             server.rest_until = time.monotonic_ns() + 100_000_000  # it looks at least once in vain
-            visitor = Visitor(balancer, request(klass, rid="left"))
-            await until(lambda: seen.waits("left") > 0)
+            visitor = Visitor(balancer, http_request(klass, request_id="left"))
+            await wait_until(lambda: seen.waits("left") > 0)
             server.rest_until = 0
             await leave_unheard(visitor, reset, lambda: seen.waits("left"))
-            await until(lambda: "left" in seen.gone)
+            await wait_until(lambda: "left" in seen.gone)
             await all_quiet(balancer)
             assert "left" not in received(stub)
 
@@ -303,17 +308,17 @@
     klass: str, reset: bool
 ) -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
-        async with node(stub) as balancer:
-            seen, driver = Departures.of(balancer), balancer.front.driver
+        stub = await StubServer(responds_with(http_response())).start()
+        async with running_balancer(stub) as balancer:
+            seen, driver = Departures.of(balancer), balancer.frontend.driver
             driver.pool.reuse_delay_s = 0.2
-            assert "200" in (await balancer.ask(request(klass, rid="first"))).start
-            await until(lambda: not balancer.front.clients)
-            visitor = Visitor(balancer, request(klass, rid="left"))
-            await until(lambda: bool(driver.jobs))
+            assert "200" in (await balancer.fetch(http_request(klass, request_id="first"))).start_line
+            await wait_until(lambda: not balancer.frontend.connections)
+            visitor = Visitor(balancer, http_request(klass, request_id="left"))
+            await wait_until(lambda: bool(driver.open_requests))
             rested = time.monotonic_ns() + int(driver.pool.reuse_delay_s * 1e9)
             await leave_unheard(visitor, reset, lambda: rested)
-            await until(lambda: seen.gone == ["left"])
+            await wait_until(lambda: seen.gone == ["left"])
             await all_quiet(balancer)
             assert received(stub) == ["first"]
 
@@ -324,16 +329,16 @@
 @pytest.mark.parametrize("klass", ["check", "set"])
 def test_no_delayed_copy_is_sent_for_a_client_that_left_unheard(klass: str, reset: bool) -> None:
     async def main() -> None:
-        stubs = [await Stub(says(answer())).start() for _ in range(2)]
-        async with node(*stubs) as balancer:
+        stubs = [await StubServer(responds_with(http_response())).start() for _ in range(2)]
+        async with running_balancer(*stubs) as balancer:
             await warm(balancer, *stubs)
             for stub in stubs:
-                stub.handler = silent
+                stub.handler = never_responds
             seen = Departures.of(balancer)
-            visitor = Visitor(balancer, request(klass, rid="left"))
-            await until(lambda: bool(received(*stubs)))
+            visitor = Visitor(balancer, http_request(klass, request_id="left"))
+            await wait_until(lambda: bool(received(*stubs)))
             await leave_unheard(visitor, reset, lambda: seen.waits("left"))
-            await until(lambda: seen.gone == ["left"])
+            await wait_until(lambda: seen.gone == ["left"])
             await all_quiet(balancer)
             assert received(*stubs) == ["left"]
 
@@ -346,22 +351,22 @@
     """Turned away unseen, any class may go on to the other server, whose connection is up."""
 
     async def main() -> None:
-        stubs = [await Stub(says(answer())).start() for _ in range(2)]
-        async with node(*stubs) as balancer:
+        stubs = [await StubServer(responds_with(http_response())).start() for _ in range(2)]
+        async with running_balancer(*stubs) as balancer:
             await warm(balancer, *stubs)
             seen = Departures.of(balancer)
             for stub in stubs:
-                stub.handler = silent
-            visitor = Visitor(balancer, request(klass, rid="left"))
-            await until(lambda: bool(received(*stubs)))
+                stub.handler = never_responds
+            visitor = Visitor(balancer, http_request(klass, request_id="left"))
+            await wait_until(lambda: bool(received(*stubs)))
 
             def turn_away() -> None:
                 for stub in stubs:
-                    if stub.seen:
-                        stub.writers[-1].write(answer(b"", "503 Service Unavailable", X_Not_Run="1"))
+                    if stub.requests:
+                        stub.writers[-1].write(http_response(b"", "503 Service Unavailable", X_Not_Run="1"))
 
             await leave_unheard(visitor, reset, lambda: 0, turn_away)
-            await until(lambda: seen.gone == ["left"])
+            await wait_until(lambda: seen.gone == ["left"])
             await all_quiet(balancer)
             assert received(*stubs) == ["left"]
 
@@ -409,15 +414,15 @@
         self.writers.append(writer)
         with suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             while True:
-                path = (await read_message(reader)).start.split()[1]
+                path = (await read_message(reader)).start_line.split()[1]
                 self.paths.append(path)
                 query = dict(part.split("=") for part in path.partition("?")[2].split("&") if part)
                 if query.get("from") == str(self.generation):
                     await asyncio.sleep(int(query["hold_ms"]) / 1000)
-                    writer.write(answer(json.dumps(listing(self.generation, False)).encode()))
+                    writer.write(http_response(json.dumps(listing(self.generation, False)).encode()))
                 else:
                     self.sent += len(self.body)
-                    writer.write(answer(self.body))
+                    writer.write(http_response(self.body))
                 await writer.drain()
 
     def applied(self, generation: int) -> bool:
@@ -469,7 +474,7 @@
             writer.write(b"GET /ready HTTP/1.1\r\nHost: b\r\n\r\n")
             got = await read_message(reader)
             writer.close()
-            if "200" in got.start:
+            if "200" in got.start_line:
                 return
         await asyncio.sleep(0.02)
 
@@ -502,7 +507,7 @@
 def test_the_watch_comes_back_though_idle_clients_fill_every_descriptor(way: str, tmp_path: Path) -> None:
     async def main() -> None:
         descriptors = 256
-        upstream = await Stub(says(answer())).start()
+        upstream = await StubServer(responds_with(http_response())).start()
         discovery, port = ListServer(0), free_port()
         discovery.publish(listing(1, True, instance("s0", upstream.address)))
         await discovery.up()
@@ -513,16 +518,16 @@
             "settings": settings(discovery=way),
         }
         async with program(tmp_path, given, descriptors) as balancer:
-            await until(lambda: discovery.applied(1))
+            await wait_until(lambda: discovery.applied(1))
             discovery.down()
-            await until(lambda: balancer.has_told("the watch is lost"))
+            await wait_until(lambda: balancer.has_told("the watch is lost"))
             clients = IdleClients(port, 2 * descriptors)
             try:
-                await until(lambda: clients.shut > descriptors)  # more than it holds at a time
+                await wait_until(lambda: clients.shut > descriptors)  # more than it holds at a time
                 discovery.publish(listing(2, True, instance("s1", upstream.address)))
                 await discovery.up()
                 back = time.monotonic()
-                await until(lambda: discovery.applied(2))
+                await wait_until(lambda: discovery.applied(2))
                 assert time.monotonic() - back <= TOLD
             finally:
                 await clients.leave()
@@ -562,7 +567,7 @@
     """Each knows the list from before, and its agent tells it whole."""
 
     async def main() -> None:
-        upstream = await Stub(says(answer())).start()
+        upstream = await StubServer(responds_with(http_response())).start()
         long = largest_list(upstream.address) if largest else long_list(ENTRIES, upstream.address)
         pushed = settings(discovery="push", balancers=420)
         pushed["obligations"]["drainGraceNs"] = 20_000_000_000  # one agent for all: it may be late
@@ -607,20 +612,20 @@
             return read(row)
 
         monkeypatch.setattr(list_reading, "parse_row", count)
-        upstream = await Stub(says(answer())).start()
+        upstream = await StubServer(responds_with(http_response())).start()
         long, discovery = long_list(ENTRIES, upstream.address), ListServer(0)
         discovery.publish(long)
         await discovery.up()
-        async with node(
-            told=False,
+        async with running_balancer(
+            discovery_answers=False,
             known=long,
             discovery=f"127.0.0.1:{discovery.port}",
             settings=settings(discovery=way, balancers=420),
         ) as balancer:
-            await until(lambda: discovery.applied(7))
+            await wait_until(lambda: discovery.applied(7))
             assert len(rows) == ENTRIES * (2 if way == "push" else 1)
-            assert len(balancer.front.driver.pool.ready_servers()) == ENTRIES
-            assert "200" in (await balancer.ask(request())).start
+            assert len(balancer.frontend.driver.pool.ready_servers()) == ENTRIES
+            assert "200" in (await balancer.fetch(http_request())).start_line
         discovery.down()
 
     run(main())
--- a/tests/node/test_upstream.py
+++ b/tests/node/test_upstream.py
@@ -13,7 +13,16 @@
 from dykeshift.interface import LoadReport, Outcome, ServerEntry, ServerState
 from dykeshift.node.listing import ListedServer
 from dykeshift.node.upstream import Attempt, AttemptResult, Pool, IdleReuseStats
-from tests.node.stubs import Handler, Stub, answer, resets, run, says, silent, until
+from tests.node.stubs import (
+    Handler,
+    StubServer,
+    http_response,
+    never_responds,
+    resets_connection,
+    responds_with,
+    run,
+    wait_until,
+)
 
 SECOND = 1_000_000_000
 REQUEST = b"POST /api HTTP/1.1\r\nX-Request-Id: r1\r\nContent-Length: 5\r\n\r\nhello"
@@ -29,7 +38,7 @@
         )
 
     async def end(self) -> AttemptResult:
-        await until(lambda: bool(self.ends))
+        await wait_until(lambda: bool(self.ends))
         assert len(self.ends) == 1
         return self.ends[0]
 
@@ -65,33 +74,33 @@
 @pytest.mark.parametrize(
     ("handler", "outcome"),
     [
-        (says(answer(b"body")), Outcome.OK),
-        (says(answer(b"", "500 Internal Server Error")), Outcome.ERROR),
-        (says(answer(b"", "500 Internal Server Error", X_Not_Run="1")), Outcome.ERROR),
-        (says(answer(b"", "404 Not Found")), Outcome.ERROR),
-        (says(answer(b"", "503 Service Unavailable", X_Not_Run="1")), Outcome.FULL),
-        (says(answer(b"", "504 Gateway Timeout", X_Not_Run="1")), Outcome.FULL),
-        (says(answer(b"", "503 Service Unavailable")), Outcome.ERROR),
-        (says(answer(b"", "504 Gateway Timeout")), Outcome.ERROR),
-        (says(answer(b"", "503 Service Unavailable", X_Not_Run="0")), Outcome.ERROR),
-        (resets, Outcome.RESET),
-        (says(b"", close=True), Outcome.RESET),
-        (says(HALF, close=True), Outcome.RESET),
-        (says(b"HTTP/1.1 200 OK\r\n\r\nno length", close=True), Outcome.RESET),
+        (responds_with(http_response(b"body")), Outcome.OK),
+        (responds_with(http_response(b"", "500 Internal Server Error")), Outcome.ERROR),
+        (responds_with(http_response(b"", "500 Internal Server Error", X_Not_Run="1")), Outcome.ERROR),
+        (responds_with(http_response(b"", "404 Not Found")), Outcome.ERROR),
+        (responds_with(http_response(b"", "503 Service Unavailable", X_Not_Run="1")), Outcome.FULL),
+        (responds_with(http_response(b"", "504 Gateway Timeout", X_Not_Run="1")), Outcome.FULL),
+        (responds_with(http_response(b"", "503 Service Unavailable")), Outcome.ERROR),
+        (responds_with(http_response(b"", "504 Gateway Timeout")), Outcome.ERROR),
+        (responds_with(http_response(b"", "503 Service Unavailable", X_Not_Run="0")), Outcome.ERROR),
+        (resets_connection, Outcome.RESET),
+        (responds_with(b"", close=True), Outcome.RESET),
+        (responds_with(HALF, close=True), Outcome.RESET),
+        (responds_with(b"HTTP/1.1 200 OK\r\n\r\nno length", close=True), Outcome.RESET),
         (
-            says(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", close=True),
+            responds_with(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", close=True),
             Outcome.RESET,
         ),
-        (says(b"NONSENSE\r\n\r\n"), Outcome.RESET),
-        (says(answer(b"x" * 70_000)), Outcome.RESET),
-        (says(TO_END + b"body", close=True), Outcome.OK),
-        (says(TO_END + b"x" * 70_000, close=True), Outcome.RESET),
+        (responds_with(b"NONSENSE\r\n\r\n"), Outcome.RESET),
+        (responds_with(http_response(b"x" * 70_000)), Outcome.RESET),
+        (responds_with(TO_END + b"body", close=True), Outcome.OK),
+        (responds_with(TO_END + b"x" * 70_000, close=True), Outcome.RESET),
         # The connection stays open, and nothing on it would ever end these: not waited for.
-        (says(b"HTTP/1.1 200 OK\r\n\r\nno length"), Outcome.RESET),
-        (says(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nbody"), Outcome.RESET),
-        (says(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbody"), Outcome.RESET),
+        (responds_with(b"HTTP/1.1 200 OK\r\n\r\nno length"), Outcome.RESET),
+        (responds_with(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nbody"), Outcome.RESET),
+        (responds_with(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbody"), Outcome.RESET),
         *(
-            (says(b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n\r\nbody"), Outcome.RESET)
+            (responds_with(b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n\r\nbody"), Outcome.RESET)
             for framing in (
                 b"Content-Length: 4\r\nTransfer-Encoding: chunked",
                 b"Transfer-Encoding: chunked\r\nContent-Length: 4",
@@ -102,19 +111,19 @@
                 b"Transfer-Encoding: gzip, chunked",
             )
         ),
-        (says(answer(b"body").replace(b"\r\n", b"\n")), Outcome.RESET),
-        (says(b"\x80\x00\xff" * 100), Outcome.RESET),
-        (says(b"HTTP/1.1 200 OK\r\nX-Long: " + b"x" * 200_000), Outcome.RESET),
+        (responds_with(http_response(b"body").replace(b"\r\n", b"\n")), Outcome.RESET),
+        (responds_with(b"\x80\x00\xff" * 100), Outcome.RESET),
+        (responds_with(b"HTTP/1.1 200 OK\r\nX-Long: " + b"x" * 200_000), Outcome.RESET),
     ],
 )
 def test_what_comes_back(handler: Handler, outcome: Outcome) -> None:
     async def main() -> None:
-        stub = await Stub(handler).start()
+        stub = await StubServer(handler).start()
         shot = Shot(make_pool(stub.address))
         end = await shot.end()
         assert end.outcome is outcome
         assert (end.response is not None and end.response.body == b"body") == (outcome is Outcome.OK)
-        assert len(stub.seen) == 1
+        assert len(stub.requests) == 1
 
     run(main())
 
@@ -122,13 +131,13 @@
 @pytest.mark.parametrize(
     "data",
     [
-        b"HTTP/1.1 100 Continue\r\n\r\n" + answer(b"body"),
+        b"HTTP/1.1 100 Continue\r\n\r\n" + http_response(b"body"),
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n",
     ],
 )
 def test_a_whole_answer_in_other_framing(data: bytes) -> None:
     async def main() -> None:
-        stub = await Stub(says(data)).start()
+        stub = await StubServer(responds_with(data)).start()
         end = await Shot(make_pool(stub.address)).end()
         assert end.outcome is Outcome.OK and end.response is not None and end.response.body == b"body"
 
@@ -140,9 +149,11 @@
     reset: bool, outcome: Outcome
 ) -> None:
     async def main() -> None:
-        stub = await Stub(says(TO_END + b"body")).start()
+        stub = await StubServer(responds_with(TO_END + b"body")).start()
         shot = Shot(make_pool(stub.address))
-        await until(lambda: shot.attempt.connection is not None and shot.attempt.connection.body == b"body")
+        await wait_until(
+            lambda: shot.attempt.connection is not None and shot.attempt.connection.body == b"body"
+        )
         assert not shot.ends
         if reset:
             stub.writers[0].get_extra_info("socket").setsockopt(
@@ -153,7 +164,7 @@
             stub.writers[0].close()
         end = await shot.end()
         assert end.outcome is outcome and (end.response is not None) == (outcome is Outcome.OK)
-        await until(lambda: not shot.attempt.pool.connection_count)
+        await wait_until(lambda: not shot.attempt.pool.connection_count)
 
     run(main())
 
@@ -202,9 +213,9 @@
         attempt = pool.start_attempt(
             1, lambda _: b"x" * 50_000_000, time.monotonic_ns() + 20 * SECOND, ends.append
         )
-        await until(lambda: attempt.connection is not None)
+        await wait_until(lambda: attempt.connection is not None)
         gate.set()
-        await until(lambda: bool(ends))
+        await wait_until(lambda: bool(ends))
         assert [end.outcome for end in ends] == [Outcome.CONNECT_FAILED]
 
     run(main())
@@ -212,13 +223,15 @@
 
 def test_silence_times_out_when_the_balancer_stops_waiting() -> None:
     async def main() -> None:
-        stub = await Stub(silent).start()
+        stub = await StubServer(never_responds).start()
         pool = make_pool(stub.address)
         shot = Shot(pool)
-        await until(lambda: len(stub.seen) == 1)
+        await wait_until(lambda: len(stub.requests) == 1)
         shot.attempt.abort(Outcome.TIMEOUT)
         assert (await shot.end()).outcome is Outcome.TIMEOUT
-        await until(lambda: stub.lost == 1 and pool.connection_count == 0)  # given up by closing
+        await wait_until(
+            lambda: stub.closed_connections == 1 and pool.connection_count == 0
+        )  # given up by closing
 
     run(main())
 
@@ -236,7 +249,7 @@
 )
 def test_load_reports(text: str, report: LoadReport | None) -> None:
     async def main() -> None:
-        stub = await Stub(says(answer(b"", X_Load=text))).start()
+        stub = await StubServer(responds_with(http_response(b"", X_Load=text))).start()
         end = await Shot(make_pool(stub.address)).end()
         assert (end.outcome, end.report) == (Outcome.OK, report)
 
@@ -248,21 +261,21 @@
 
 def test_a_warm_connection_is_used_again() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await StubServer(responds_with(http_response())).start()
         pool = make_pool(stub.address)
         for _ in range(5):
             await Shot(pool).end()
-        assert len(stub.seen) == 5 and len(stub.writers) == 1 and pool.connection_count == 1
+        assert len(stub.requests) == 5 and len(stub.writers) == 1 and pool.connection_count == 1
 
     run(main())
 
 
 def test_one_request_at_a_time_on_a_connection() -> None:
     async def main() -> None:
-        stub = await Stub(silent).start()
+        stub = await StubServer(never_responds).start()
         pool = make_pool(stub.address)
         first, second = Shot(pool), Shot(pool)
-        await until(lambda: len(stub.seen) == 2)
+        await wait_until(lambda: len(stub.requests) == 2)
         assert len(stub.writers) == 2 and not first.ends and not second.ends
 
     run(main())
@@ -270,7 +283,7 @@
 
 def test_a_connection_that_says_close_is_not_used_again() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer(b"", Connection="close"))).start()
+        stub = await StubServer(responds_with(http_response(b"", Connection="close"))).start()
         pool = make_pool(stub.address)
         await Shot(pool).end()
         await Shot(pool).end()
@@ -281,7 +294,7 @@
 
 def test_a_second_answer_to_one_request_is_not_taken_for_the_next() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer(b"one") + answer(b"two"))).start()
+        stub = await StubServer(responds_with(http_response(b"one") + http_response(b"two"))).start()
         pool = make_pool(stub.address)
         for _ in range(2):
             end = await Shot(pool).end()
@@ -295,14 +308,16 @@
     """The next attempt is there before it comes, and nothing in an answer tells whose it is."""
 
     async def main() -> None:
-        stub = await Stub(says(answer(b"one"))).start()
+        stub = await StubServer(responds_with(http_response(b"one"))).start()
         pool = make_pool(stub.address)
         pool.reuse_delay_s = 1.0
         await Shot(pool).end()
-        stub.handler = says(answer(b"two"))
+        stub.handler = responds_with(http_response(b"two"))
         shot = Shot(pool)
-        stub.writers[0].write(answer(b"one again"))
-        await until(lambda: stub.lost == 1)  # taken for no answer: the connection is closed
+        stub.writers[0].write(http_response(b"one again"))
+        await wait_until(
+            lambda: stub.closed_connections == 1
+        )  # taken for no answer: the connection is closed
         end = await shot.end()
         assert end.response is not None and end.response.body == b"two"
         assert len(stub.writers) == 2 and pool.connection_count == 1
@@ -313,7 +328,7 @@
 @pytest.mark.parametrize("change", ["none", "drains", "cancels"])
 def test_an_attempt_waits_for_a_connection_that_rests(change: str) -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await StubServer(responds_with(http_response())).start()
         pool = make_pool(stub.address)
         await Shot(pool).end()
         pool.reuse_delay_s = 0.05
@@ -324,11 +339,11 @@
             shot.attempt.abort(Outcome.CANCELLED)
         outcome = (await shot.end()).outcome
         assert outcome is (Outcome.OK if change == "none" else Outcome.NOT_SENT)
-        await until(
+        await wait_until(
             lambda: pool.connection_count == (change != "drains")
             and len(pool.upstreams[1].idle_connections) == pool.connection_count
         )
-        assert len(stub.writers) == 1 and len(stub.seen) == 1 + (change == "none")
+        assert len(stub.writers) == 1 and len(stub.requests) == 1 + (change == "none")
 
     run(main())
 
@@ -344,14 +359,14 @@
             shot = Shot(pool)
             peer, _ = await loop.sock_accept(server)
             await loop.sock_recv(peer, 4096)
-            await loop.sock_sendall(peer, answer())
+            await loop.sock_sendall(peer, http_response())
             assert (await shot.end()).outcome is Outcome.OK
-            await until(lambda: len(pool.upstreams[1].idle_connections) == 1)
+            await wait_until(lambda: len(pool.upstreams[1].idle_connections) == 1)
             peer.close()
             shot = Shot(pool)  # in the same turn of the loop
             peer, _ = await loop.sock_accept(server)
             assert (await loop.sock_recv(peer, 4096)).startswith(b"POST")
-            await loop.sock_sendall(peer, answer())
+            await loop.sock_sendall(peer, http_response())
             assert (await shot.end()).outcome is Outcome.OK
             peer.close()
 
@@ -360,10 +375,10 @@
 
 def test_idle_connections_are_closed_before_the_keepalive_ends() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await StubServer(responds_with(http_response())).start()
         pool = make_pool(stub.address, keepalive=0.05)
         await Shot(pool).end()
-        await until(lambda: stub.lost == 1)
+        await wait_until(lambda: stub.closed_connections == 1)
         assert pool.connection_count == 0 and not pool.upstreams[1].idle_connections
 
     run(main())
@@ -371,12 +386,12 @@
 
 def test_connections_stay_within_the_limit() -> None:
     async def main() -> None:
-        stub = await Stub(silent).start()
+        stub = await StubServer(never_responds).start()
         pool = make_pool(stub.address, limit=3)
         shots = [Shot(pool) for _ in range(5)]
         ends = [await shot.end() for shot in shots[3:]]
         assert [end.outcome for end in ends] == [Outcome.CONNECT_FAILED] * 2
-        await until(lambda: len(stub.seen) == 3)
+        await wait_until(lambda: len(stub.requests) == 3)
         assert pool.connection_count == 3
 
     run(main())
@@ -384,32 +399,35 @@
 
 def test_at_the_limit_an_idle_connection_makes_room() -> None:
     async def main() -> None:
-        one, other = await Stub(says(answer())).start(), await Stub(says(answer())).start()
+        one, other = (
+            await StubServer(responds_with(http_response())).start(),
+            await StubServer(responds_with(http_response())).start(),
+        )
         pool = make_pool(one.address, limit=1)
         put(pool, 2, other.address, 0, True)
         for number in (1, 2, 1, 2):
             assert (await Shot(pool, number).end()).outcome is Outcome.OK
-            await until(lambda: pool.connection_count == 1)
+            await wait_until(lambda: pool.connection_count == 1)
 
     run(main())
 
 
 def test_after_a_silence_connections_from_before_it_are_not_used() -> None:
     async def main() -> None:
-        stub = await Stub(silent).start()
+        stub = await StubServer(never_responds).start()
         pool = make_pool(stub.address)
         shots = [Shot(pool) for _ in range(3)]
-        await until(lambda: len(stub.seen) == 3)
-        stub.writers[0].write(answer())  # heard before the silence begins
+        await wait_until(lambda: len(stub.requests) == 3)
+        stub.writers[0].write(http_response())  # heard before the silence begins
         await shots[0].end()
         lost = Shot(pool)  # on the connection that was heard
-        await until(lambda: len(stub.seen) == 4)
-        stub.writers[1].write(answer())
+        await wait_until(lambda: len(stub.requests) == 4)
+        stub.writers[1].write(http_response())
         await shots[1].end()
         before = pool.upstreams[1].idle_connections[0]
         hung = Shot(pool)
-        await until(lambda: len(stub.seen) == 5)
-        stub.writers[2].write(answer())
+        await wait_until(lambda: len(stub.requests) == 5)
+        stub.writers[2].write(http_response())
         await shots[2].end()
         since = pool.upstreams[1].idle_connections[0]
         hung.attempt.abort(Outcome.TIMEOUT)
@@ -418,7 +436,7 @@
             pool.upstreams[1].idle_connections == [since] and before is not since
         )  # it has answered meanwhile
         late = Shot(pool)
-        await until(lambda: len(stub.seen) == 6)
+        await wait_until(lambda: len(stub.requests) == 6)
         late.attempt.abort(Outcome.CANCELLED)
         pool.close_unused_since(pool.upstreams[1], time.monotonic())
         assert not pool.upstreams[1].idle_connections
@@ -431,7 +449,7 @@
     """It came up and was given up in the same moment, so both its end and the time-out are told."""
 
     async def main() -> None:
-        stub = await Stub(silent).start()
+        stub = await StubServer(never_responds).start()
         pool = make_pool(stub.address)
         loop = asyncio.get_running_loop()
         connect = loop.create_connection
@@ -470,19 +488,19 @@
 
 def test_an_old_connection_gives_way_to_a_new_one_where_such_have_broken() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await StubServer(responds_with(http_response())).start()
         pool = make_pool(stub.address)
         await Shot(pool).end()
-        stub.handler = resets
+        stub.handler = resets_connection
         for _ in range(3):
             assert (await Shot(pool).end()).outcome is Outcome.RESET
-            stub.handler = says(answer())
+            stub.handler = responds_with(http_response())
             await Shot(pool).end()
-            stub.handler = resets
+            stub.handler = resets_connection
         assert max(pool.idle_reuse_stats.broken_counts) > 0  # learned from real ends
         pool.idle_reuse_stats.broken_counts[0] = 10.0
-        stub.handler = says(answer())
-        await until(lambda: len(pool.upstreams[1].idle_connections) == 1)
+        stub.handler = responds_with(http_response())
+        await wait_until(lambda: len(pool.upstreams[1].idle_connections) == 1)
         old = pool.upstreams[1].idle_connections[0]
         assert (await Shot(pool).end()).outcome is Outcome.OK
         assert old.transport is None or old.transport.is_closing()
@@ -518,40 +536,40 @@
     change: Callable[[Pool, tuple[str, int], Shot], None],
 ) -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await StubServer(responds_with(http_response())).start()
         pool = make_pool(stub.address)
         shot = Shot(pool)
         change(pool, stub.address, shot)
         assert (await shot.end()).outcome is Outcome.NOT_SENT
-        await until(lambda: not pool.connect_tasks)
-        assert not stub.seen
+        await wait_until(lambda: not pool.connect_tasks)
+        assert not stub.requests
 
     run(main())
 
 
 def test_a_drained_upstream_gets_nothing_and_loses_its_idle_connections() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await StubServer(responds_with(http_response())).start()
         pool = make_pool(stub.address)
         await Shot(pool).end()
         put(pool, 1, stub.address, 0, False)
         assert (await Shot(pool).end()).outcome is Outcome.NOT_SENT
-        await until(lambda: stub.lost == 1 and pool.connection_count == 0)
-        assert len(stub.seen) == 1
+        await wait_until(lambda: stub.closed_connections == 1 and pool.connection_count == 0)
+        assert len(stub.requests) == 1
 
     run(main())
 
 
 def test_no_attempt_ends_within_the_call_that_starts_it() -> None:
     async def main() -> None:
-        stub = await Stub(says(answer())).start()
+        stub = await StubServer(responds_with(http_response())).start()
         pool = make_pool(stub.address)
         await Shot(pool).end()
         late = Shot(pool, left=-1)  # on a warm connection, which is kept for the next
         assert not late.ends
         assert (await late.end()).outcome is Outcome.NOT_SENT
         assert (await Shot(pool).end()).outcome is Outcome.OK
-        assert len(stub.seen) == 2 and len(stub.writers) == 1
+        assert len(stub.requests) == 2 and len(stub.writers) == 1
 
     run(main())
 
