--- a/dykeshift/node/discovery.py
+++ b/dykeshift/node/discovery.py
@@ -34,7 +34,8 @@
 )
 # Of the drain grace, for an agent on this machine: it answers a call that it need not hold at once, or is
 # silent, and is asked again at no cost. Both together leave time to stop sending.
-PUSH_SILENCE_SHARE, PUSH_RETRY_SHARE = 0.4, 0.2
+PUSH_SILENCE_SHARE = 0.4
+PUSH_RETRY_SHARE = 0.2
 PUSH_RESPONSE_TIMEOUT_S = (
     2.0  # seconds: the longest that its answer may take in all while bytes of it go on coming
 )
--- a/dykeshift/node/upstream.py
+++ b/dykeshift/node/upstream.py
@@ -30,10 +30,9 @@
 ATTEMPTS_PER_EXTRA_CONNECTION = (
     25  # attempts from one such connection to the next: an upstream pays for each handshake
 )
-MAX_BROKEN_REUSE_SHARE, REUSE_COUNT_OFFSET = (
-    0.15,
-    10,
-)  # part of the reuses, and of so many more, that may break at some idle time
+# part of the reuses, and of so many more, that may break at some idle time
+MAX_BROKEN_REUSE_SHARE = 0.15
+REUSE_COUNT_OFFSET = 10
 REUSE_COUNT_KEPT_SHARE = 0.9  # what is left of those counts after each look
 
 
