--- a/emulator/control/hollow.py
+++ b/emulator/control/hollow.py
@@ -184,7 +184,7 @@
     def _report_failed(self, name: str, what: str) -> None:
         """With the reasons for which the module has given requests up lately."""
         request = self.open[name]
-        reasons = " ".join(f"{reason}:{n}" for reason, n in self.module.gave_up.items())
+        reasons = " ".join(f"{reason}:{n}" for reason, n in self.module.give_up_counts.items())
         after_ms = (time.monotonic_ns() - request.arrived) / 1e6
         report(RequestFailed(self.number, f"{what}, {reasons}", after_ms))
 
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -241,4 +241,4 @@
         for rid, n in self.out():
             self.end(rid, n, Outcome.CANCELLED)
         assert all(s.final for s in self.requests.values())
-        assert not self.balancer.open, "closed requests are kept"
+        assert not self.balancer.open_requests, "closed requests are kept"
--- a/tests/node/test_growth.py
+++ b/tests/node/test_growth.py
@@ -45,7 +45,7 @@
     await wait_until(
         lambda: not front.connections
         and not front.driver.open_requests
-        and not module.open
+        and not module.open_requests
         and len(module.servers) <= 2
         and len(front.driver.pool.listed_servers) <= 2
         and len(front.driver.pool.upstreams) <= 2
--- a/tests/node/test_server.py
+++ b/tests/node/test_server.py
@@ -240,7 +240,7 @@
             await wait_until(
                 lambda: stub.closed_connections == 1 and not balancer.frontend.driver.open_requests
             )
-            assert balancer.frontend.driver.decision_module.open == {}
+            assert balancer.frontend.driver.decision_module.open_requests == {}
             assert all(s.in_flight == 0 for s in balancer.frontend.driver.decision_module.servers.values())
 
     run(main())
@@ -287,7 +287,7 @@
                 lambda: stub.closed_connections == 1 and not balancer.frontend.driver.open_requests
             )
             assert all(s.in_flight == 0 for s in balancer.frontend.driver.decision_module.servers.values())
-            assert balancer.frontend.driver.decision_module.open == {}
+            assert balancer.frontend.driver.decision_module.open_requests == {}
 
     run(main())
 
@@ -362,7 +362,7 @@
             await wait_until(
                 lambda: stub.closed_connections == 1 and not balancer.frontend.driver.open_requests
             )
-            assert balancer.frontend.driver.decision_module.open == {}
+            assert balancer.frontend.driver.decision_module.open_requests == {}
             assert all(s.in_flight == 0 for s in balancer.frontend.driver.decision_module.servers.values())
 
     run(main())
@@ -567,14 +567,14 @@
             assert (
                 status(await balancer.fetch(http_request("send", request_id="r0"))) == 200
             )  # a connection is warm
-            sound = module._watch_over
+            sound = module._schedule_delayed_copy
 
             def faulty(*_: object) -> None:
                 raise RuntimeError("planted")
 
-            module._watch_over = faulty  # type: ignore[method-assign, assignment]
+            module._schedule_delayed_copy = faulty  # type: ignore[method-assign, assignment]
             assert status(await balancer.fetch(http_request("send"))) == 500
-            module._watch_over = sound  # type: ignore[method-assign]
+            module._schedule_delayed_copy = sound  # type: ignore[method-assign]
             await wait_until(lambda: not balancer.frontend.driver.open_requests)
             assert len(stub.requests) == 1 and all(s.in_flight == 0 for s in module.servers.values())
 
--- a/tests/node/test_standing_terms.py
+++ b/tests/node/test_standing_terms.py
@@ -98,7 +98,7 @@
     """Every attempt has come back to the module, and nothing is left of the requests."""
     driver = balancer.frontend.driver
     await wait_until(lambda: not driver.open_requests and not driver.pool.connect_tasks)
-    assert not driver.decision_module.open
+    assert not driver.decision_module.open_requests
     assert all(server.in_flight == 0 for server in driver.decision_module.servers.values())
 
 
@@ -290,10 +290,10 @@
             driver.pool.reuse_delay_s = 0.0
             assert "200" in (await balancer.fetch(http_request("send", request_id="warm"))).start_line
             (server,) = driver.decision_module.servers.values()
-            server.rest_until = time.monotonic_ns() + 100_000_000  # it looks at least once in vain
+            server.backoff_until = time.monotonic_ns() + 100_000_000  # it looks at least once in vain
             visitor = Visitor(balancer, http_request(klass, request_id="left"))
             await wait_until(lambda: seen.waits("left") > 0)
-            server.rest_until = 0
+            server.backoff_until = 0
             await leave_unheard(visitor, reset, lambda: seen.waits("left"))
             await wait_until(lambda: "left" in seen.gone)
             await all_quiet(balancer)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -44,7 +44,7 @@
     warm_up(world, 200)
     for used, copies in ((0.0, 2), (0.4, 1)):
         for server in world.balancer.pool:
-            server.used = used
+            server.mean_in_flight = used
         rid = world.submit(0)
         assert len(world.requests[rid].servers) == copies
         world.end_all(rid)
@@ -131,9 +131,9 @@
 def test_a_restart_is_a_cold_server_whose_past_is_dropped() -> None:
     world = fleet(2)
     warm_up(world)
-    assert any(s.heard for s in world.balancer.servers.values())
+    assert any(s.has_answered for s in world.balancer.servers.values())
     world.announce(ListKind.DELTA, entry(0, started=world.now - 10 * MS))
-    assert not world.balancer.servers[0].heard
+    assert not world.balancer.servers[0].has_answered
     world.announce(ListKind.DELTA, entry(0, started=world.now - 10 * MS))
     world.settle()
 
@@ -245,7 +245,7 @@
 )
 def test_a_refusal_says_when_to_come_back_within_the_limit(limit: int, admit: float, least: int) -> None:
     world = World(make_settings(max_retry_after=limit))
-    world.balancer.admit = admit
+    world.balancer.admission_share = admit
     world.submit(0)
     world.advance(S)
     (refusal,) = (a for a in world.actions if isinstance(a, Refuse))
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -132,7 +132,7 @@
         world.advance(10 * MS)
         for rid in rids:
             world.end_all(rid)
-    rooms = [s.room for s in world.balancer.servers.values()]
+    rooms = [s.in_flight_limit for s in world.balancer.servers.values()]
     world.settle()
     return sum(rooms) / len(rooms)
 
@@ -157,7 +157,7 @@
                     server = world.requests[rid].servers[n]
                     world.end(rid, n, Outcome.OK, busy if server == 0 else None)
     servers = world.balancer.servers
-    assert servers[0].room < servers[1].room / 2
+    assert servers[0].in_flight_limit < servers[1].in_flight_limit / 2
     world.settle()
 
 
@@ -219,7 +219,7 @@
         rid = world.submit(2)
         world.advance(10 * MS)
         world.end_all(rid)
-    assert all(s.heard for s in world.balancer.servers.values())
+    assert all(s.has_answered for s in world.balancer.servers.values())
     world.settle()
 
 
@@ -246,12 +246,12 @@
 def test_first_trust_is_a_share_and_later_servers_are_trusted_like_the_others() -> None:
     """Incident ibd67e9: eleven balancers filled every core within the first two seconds of an overload."""
     world = fleet(3, balancer_count=16)
-    start = world.balancer.servers[0].room
+    start = world.balancer.servers[0].in_flight_limit
     assert start * 16 < 6
     keep_busy(world)
     world.announce(ListKind.DELTA, entry(9))
-    rooms = [world.balancer.servers[n].room for n in range(3)]
-    assert start < sum(rooms) / 3 == world.balancer.servers[9].room
+    rooms = [world.balancer.servers[n].in_flight_limit for n in range(3)]
+    assert start < sum(rooms) / 3 == world.balancer.servers[9].in_flight_limit
     world.settle()
 
 
@@ -264,17 +264,17 @@
             world.advance(50 * MS)
             world.end_all(rid)
         world.announce(ListKind.DELTA, entry(2, started=started and world.now))
-        world.balancer.crowd = 1.0
+        world.balancer.overload_level = 1.0
         world.advance(400 * MS)  # the sweep sees the crowd
-        world.balancer.crowd = 1.0
-        before = world.balancer.servers[0].room
+        world.balancer.overload_level = 1.0
+        before = world.balancer.servers[0].in_flight_limit
         for _ in range(4):
             for _ in range(6):
                 world.submit(2)
             world.advance(120 * MS)  # 2.4 times it: quick enough without a crowd
             for rid, n in world.out():
                 world.end(rid, n, Outcome.OK)
-        assert (world.balancer.servers[0].room > before) is grows
+        assert (world.balancer.servers[0].in_flight_limit > before) is grows
         world.settle()
 
 
@@ -285,7 +285,7 @@
         rid = world.submit(2)
         world.advance(300 * MS)
         world.end_all(rid)
-    assert world.balancer.admit < 0.5
+    assert world.balancer.admission_share < 0.5
     world.announce(ListKind.FULL, *(entry(n) for n in range(100, 160)))  # not one of them rests yet
     rids = [world.submit(2) for _ in range(8)]
     refused = sum(world.requests[r].final == "Refuse" for r in rids)
@@ -295,7 +295,7 @@
         rid = world.submit(2)
         world.advance(40 * MS)
         world.end_all(rid)
-    assert world.balancer.admit == 1.0, "quick answers open it again"
+    assert world.balancer.admission_share == 1.0, "quick answers open it again"
 
 
 def test_late_attempts_at_a_server_with_free_cores_cost_it_nothing() -> None:
@@ -309,7 +309,7 @@
             for n, end in enumerate(world.requests[rid].ends):
                 if end is None:
                     world.end(rid, n, Outcome.OK, LoadReport(utilization=utilization))
-        rooms.append(sum(s.room for s in world.balancer.servers.values()))
+        rooms.append(sum(s.in_flight_limit for s in world.balancer.servers.values()))
         world.settle()
     assert rooms[0] > 2 * rooms[1]
 
@@ -318,14 +318,14 @@
     """cardiff-push: rooms grew by 2/N of themselves and fell by a fifth; no server ever recovered."""
     world = fleet(4, balancer_count=300)
     server = world.balancer.servers[0]
-    before = server.room
+    before = server.in_flight_limit
     for _ in range(120):
         world.submit(2)
         world.advance(20 * MS)
         for rid, n in world.out():
             if world.now - world.requests[rid].sent[n] >= 40 * MS:
                 world.end(rid, n, Outcome.OK)
-    assert server.room > 10 * before
+    assert server.in_flight_limit > 10 * before
     world.settle()
 
 
@@ -385,7 +385,7 @@
     """herd+vast: one quick attempt now and then from each of 40 let all their rooms grow to 15 a server."""
     for at_once, grows in ((1, False), (3, True)):
         world = fleet(2, balancer_count=4)
-        before = world.balancer.servers[0].room
+        before = world.balancer.servers[0].in_flight_limit
         for _ in range(60):
             for _ in range(at_once):
                 world.submit(2)
@@ -393,7 +393,7 @@
             for rid, n in world.out():
                 world.end(rid, n, Outcome.OK)
             world.advance(80 * MS)
-        assert (world.balancer.servers[0].room > before) is grows, at_once
+        assert (world.balancer.servers[0].in_flight_limit > before) is grows, at_once
         world.settle()
 
 
@@ -404,12 +404,12 @@
         world = fleet(1, balancer_count=8)
         warm_up(world, klass=2)
         server = world.balancer.servers[0]
-        server.room = before = 0.4
+        server.in_flight_limit = before = 0.4
         rid = world.submit(2)
         world.advance(latency * MS)
         world.end_all(rid)
-        rested.append(server.rest_until > world.now)
-        assert (server.room > before) is (latency == 20)
+        rested.append(server.backoff_until > world.now)
+        assert (server.in_flight_limit > before) is (latency == 20)
         world.settle()
     assert rested == [False, True]
 
@@ -423,7 +423,7 @@
         world.advance(window // 20)
     pool = world.balancer.pool
     assert 20 / len(pool) >= 2, "a request of one for two of its requests a window"
-    rooms = [server.room for server in world.balancer.servers.values()]
+    rooms = [server.in_flight_limit for server in world.balancer.servers.values()]
     trusted = sum(rooms) / len(rooms) * world.settings.balancer_count * len(pool) / 60
     assert trusted > 1.5, "the room of a server is shared by those who draw from it, not by all"
     for _ in range(6000):
@@ -540,7 +540,7 @@
         world.end_all(verdict)
         world.advance(20 * MS)
         world.end_all(tried, Outcome.TIMEOUT)
-    assert world.balancer.servers[0].room >= 1
+    assert world.balancer.servers[0].in_flight_limit >= 1
     assert world.requests[world.submit(3)].servers == [0], "the class that is answered there is sent nowhere"
     world.settle()
 
@@ -583,7 +583,7 @@
         world.gone(rid)
         world.end_all(rid, Outcome.CANCELLED)
     server = world.balancer.servers[0]
-    server.room, server.rest_until = held, 0
+    server.in_flight_limit, server.backoff_until = held, 0
     assert world.requests[world.submit(3)].servers == [], "filled a server that may still be full"
     world.advance(300 * MS)
     assert world.requests[world.submit(3)].servers == [0]
@@ -596,12 +596,12 @@
         world = fleet(12)
         for n in range(int(20 * S / between)):
             if n == int(5 * S / between):
-                world.balancer.crowd = 1.0  # as a jam leaves it
+                world.balancer.overload_level = 1.0  # as a jam leaves it
             rid = world.submit(0)
             world.advance(min(between, 30 * MS))
             world.end_all(rid)
             world.advance(max(0, between - 30 * MS))
-        assert world.balancer.crowd == 0.0, f"{between / MS} ms between requests"
+        assert world.balancer.overload_level == 0.0, f"{between / MS} ms between requests"
         world.settle()
 
 
@@ -626,12 +626,12 @@
         (150 * MS, False, ""),
     ]
     for patience, retry, final in tries:
-        world.balancer.crowd = 0.01
+        world.balancer.overload_level = 0.01
         assert world.requests[ask(patience, retry)].final == final, (patience, retry)
         ask(240 * MS, False)
     advice = [a.retry_after for a in world.actions if isinstance(a, Refuse)]
     assert min(advice) == k.client_timeout  # longer than the client has
-    world.balancer.crowd = 0.0
+    world.balancer.overload_level = 0.0
     assert world.requests[ask(late, True)].final == ""  # none is kept from it then
     world.settle()
 
@@ -685,7 +685,7 @@
     for n in range(5):
         now = (1 + 20 * n) * S  # half of what it keeps
         balancer.on_request(now, Request(f"r{n}", 0, now + 500 * MS, tenant_index=0))
-        beyond.append(balancer.open[f"r{n}"].beyond)
+        beyond.append(balancer.open_requests[f"r{n}"].over_quota)
         balancer.on_request(now, Request(f"more{n}", 0, now + 500 * MS, tenant_index=0))
-        beyond.append(balancer.open[f"more{n}"].beyond)
+        beyond.append(balancer.open_requests[f"more{n}"].over_quota)
     assert beyond == [False, True] * 5
--- a/tests/test_module_cost.py
+++ b/tests/test_module_cost.py
@@ -21,7 +21,7 @@
 from dykeshift import rules
 from dykeshift.interface import Action, AttemptEnd, ListKind, Log, Outcome, Request, Send
 from dykeshift.interface import ServerEntry, ServerListUpdate, ServerState
-from dykeshift.rules import KEPT, REPORTED, Balancer, Lane, Server
+from dykeshift.rules import MAX_KNOWN_SERVERS, MAX_LOGGED_SERVERS, Balancer, ServerClassState, Server
 from tests.harness import MS, S, make_settings
 
 SMALL = (100, 100)  # servers, tenants
@@ -192,10 +192,10 @@
         traffic.requests(20, 2, *[Outcome.CONNECT_FAILED] * 2)
     traffic.requests(1200, 3)
     balancer = traffic.balancer
-    assert len(balancer.servers) <= len(balancer.pool) + KEPT
+    assert len(balancer.servers) <= len(balancer.pool) + MAX_KNOWN_SERVERS
     del balancer, traffic
     gc.collect()
-    kept = [o for o in gc.get_objects() if isinstance(o, Server | Lane)]
+    kept = [o for o in gc.get_objects() if isinstance(o, Server | ServerClassState)]
     assert not kept, "a balancer that is dropped leaves nothing behind"
 
 
@@ -207,7 +207,7 @@
         traffic.logged.clear()
         for _ in range(2):
             traffic.sweep()
-        assert len(traffic.logged) == 2 + REPORTED
+        assert len(traffic.logged) == 2 + MAX_LOGGED_SERVERS
         sizes.append(sum(map(len, traffic.logged)))
     assert max(sizes) <= 1_500 and sizes[1] <= 1.5 * sizes[0], sizes
 
@@ -228,7 +228,7 @@
     assert counts.startswith("servers 6400 ready 6399 draining 1 pool 10 known 1")
     assert f" failing {len(failing)} " in counts and "post/ERROR:4" in counts
     named = {int(line.split()[1], 16) for line in traffic.logged if line.startswith("server ")}
-    assert failing <= named and len(named) == REPORTED
+    assert failing <= named and len(named) == MAX_LOGGED_SERVERS
 
 
 def test_a_keyed_repeat_looks_at_a_sample_of_its_cell() -> None:
@@ -245,13 +245,13 @@
 
 def test_a_tenant_gets_no_more_than_its_share_however_seldom_it_asks() -> None:
     traffic = Traffic(LARGE).listed()
-    shares = traffic.balancer.shares
+    shares = traffic.balancer.tenant_quotas
     part = 2.0 / BALANCERS
     within = 0
     for n in range(2_000):  # one tenant's requests, far beyond its share, and others between
         traffic.now += 10 * S // 3
-        within += shares.take(traffic.now, Request(f"t{n}", 0, traffic.now + S, tenant_index=14_999))
-        shares.take(traffic.now, Request(f"u{n}", 0, traffic.now + S, tenant_index=n))
+        within += shares.consume(traffic.now, Request(f"t{n}", 0, traffic.now + S, tenant_index=14_999))
+        shares.consume(traffic.now, Request(f"u{n}", 0, traffic.now + S, tenant_index=n))
     assert within == pytest.approx(part * 2_000 * 10 / 3, abs=2)
 
 
@@ -275,9 +275,9 @@
     balancer = traffic.balancer
     balancer.on_list(traffic.now, ServerListUpdate(ListKind.CACHED, traffic.entries[:10]))
     for server in balancer.servers.values():
-        server.room = 3.0
+        server.in_flight_limit = 3.0
     traffic.list_all()
-    assert balancer.first_room == pytest.approx(3.0)
-    assert [server.room for server in balancer.pool] == [pytest.approx(3.0)] * 10
+    assert balancer.initial_limit == pytest.approx(3.0)
+    assert [server.in_flight_limit for server in balancer.pool] == [pytest.approx(3.0)] * 10
     traffic.change()
-    assert balancer.first_room == pytest.approx(3.0)
+    assert balancer.initial_limit == pytest.approx(3.0)
--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -9,11 +9,13 @@
 from hypothesis.stateful import rule
 
 from dykeshift.interface import Idempotency, ListKind, Outcome, Request, RequestClass, DedupScope, ServerState
-from dykeshift.rules import KEPT
+from dykeshift.rules import MAX_KNOWN_SERVERS
 from tests.harness import CLASSES, KEYED_CELL, MS, SAFE, UNSAFE, S, World, entry, make_settings
 from tests.test_properties import Rules
 
-SEARCHED = 3 * KEPT  # servers: in a fleet of so many, the repeats of keyed requests are sought in groups
+SEARCHED = (
+    3 * MAX_KNOWN_SERVERS
+)  # servers: in a fleet of so many, the repeats of keyed requests are sought in groups
 STREAM = replace(SAFE, name="stream", worth=9.0)
 
 
@@ -40,11 +42,11 @@
         rid = world.submit(1)
         world.advance(20 * MS)
         world.end_all(rid)
-    learned = world.balancer.usual[1]
+    learned = world.balancer.usual_latency[1]
     change(world, classes=(STREAM, UNSAFE, SAFE))
-    assert world.balancer.usual[1] == learned
+    assert world.balancer.usual_latency[1] == learned
     change(world, classes=(UNSAFE, STREAM))
-    assert world.balancer.usual[0] == learned != world.balancer.usual[1]
+    assert world.balancer.usual_latency[0] == learned != world.balancer.usual_latency[1]
 
 
 def test_open_requests_of_a_removed_class_end_as_they_began() -> None:
@@ -58,7 +60,7 @@
     world.end(keyed, 1, Outcome.OK)
     assert world.requests[keyed].final == "OK"
     change(world, classes=(STREAM, SAFE))
-    assert len(world.balancer.usual) == 2  # nothing is left of classes that nobody uses
+    assert len(world.balancer.usual_latency) == 2  # nothing is left of classes that nobody uses
     world.settle()
 
 
@@ -88,7 +90,7 @@
     rid = world.submit(1)
     change(world, classes=(SAFE,))
     change(world, classes=(STREAM, UNSAFE))
-    assert world.balancer.class_slots == ["stream", "post"]
+    assert world.balancer.class_names == ["stream", "post"]
     world.end(rid, 0, Outcome.OK)
     world.settle()
 
@@ -106,7 +108,7 @@
     cheap, dear = replace(SAFE, name="cheap", worth=1.0), replace(SAFE, name="dear", worth=10.0)
     world = make_world((cheap, dear))
     change(world, classes=(replace(cheap, worth=10.0), replace(dear, worth=1.0)))
-    assert world.balancer.value[0] > world.balancer.value[1]
+    assert world.balancer.relative_worth[0] > world.balancer.relative_worth[1]
 
 
 def test_shares_are_kept_by_the_name_of_the_tenant_and_bounded_by_the_new_ones() -> None:
@@ -117,7 +119,7 @@
     def within(tenant: int) -> int:
         """How many requests in a row are within the tenant's share."""
         count = 0
-        while world.balancer.shares.take(world.now, Request("r", 0, 0, tenant_index=tenant)):
+        while world.balancer.tenant_quotas.consume(world.now, Request("r", 0, 0, tenant_index=tenant)):
             count += 1
         return count
 
@@ -147,7 +149,7 @@
 def test_the_balancer_count_is_that_of_the_new_settings() -> None:
     world = make_world((SAFE,))
     change(world, balancer_count=400)
-    assert world.balancer._sharers() == 400
+    assert world.balancer._balancers_per_server() == 400
 
 
 def test_a_measured_rate_is_kept_when_the_window_that_it_counts_in_changes() -> None:
@@ -155,9 +157,9 @@
     for _ in range(200):
         world.end_all(world.submit(0))
         world.advance(20 * MS)
-    before = world.balancer.arrivals / world.settings.overload_window
+    before = world.balancer.requests_per_window / world.settings.overload_window
     change(world, overload_window=world.settings.overload_window * 4)
-    assert abs(world.balancer.arrivals / world.settings.overload_window - before) < 1e-12
+    assert abs(world.balancer.requests_per_window / world.settings.overload_window - before) < 1e-12
 
 
 def test_settings_that_are_the_same_change_no_decision() -> None:
@@ -166,7 +168,7 @@
     for n in range(300):
         for world in (plain, changed):
             if n % 7 == 0:
-                change(world) if world is changed else world.balancer._weigh_classes()
+                change(world) if world is changed else world.balancer._update_relative_worth()
             rid = world.submit(n % len(CLASSES))
             world.advance(9 * MS)
             world.end_all(rid, Outcome.ERROR if n % 5 == 0 else Outcome.OK)
