--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -204,7 +204,7 @@
                 self.schedule(action.fire_at - self.now, lambda token=action.token: self.tick(me, token))  # type: ignore[misc]
             elif isinstance(action, Cancel):
                 held = self.requests[me][action.request_id]
-                self.schedule(0, lambda a=action, h=held: self.end(me, h, a.attempt, Outcome.CANCELLED))  # type: ignore[misc]
+                self.schedule(0, lambda a=action, h=held: self.end(me, h, a.attempt_index, Outcome.CANCELLED))  # type: ignore[misc]
             elif isinstance(action, Refuse | Fail):
                 self.requests[me][action.request_id].final = True
 
