--- a/dykeshift/control.py
+++ b/dykeshift/control.py
@@ -17,7 +17,7 @@
 from dykeshift.settings import MalformedInputError
 from dykeshift.settings_check import check_settings, with_fixed_keys
 
-LONG_POLL_HOLD_MS = 2_000  # a watch that stops responding is noticed soon after this time
+LONG_POLL_MS = 2_000  # a watch that stops responding is noticed soon after this time
 FIRST_BACKOFF_S = 0.2  # doubled with each consecutive failure
 MAX_BACKOFF_S = 1.6
 MIN_BACKOFF_SHARE = 0.5  # of the back-off; the rest is random jitter
@@ -113,7 +113,7 @@
         if self.search_below is not None:
             return Query(f"/v1/settings?before={self.search_below}", 0.0)
         # At the start and after a failure the agent may have a newer version: it is to respond at once.
-        hold_ms = LONG_POLL_HOLD_MS if self.last_call_answered else 0
+        hold_ms = LONG_POLL_MS if self.last_call_answered else 0
         return Query(f"/v1/settings?from={self.newest_seen}&hold_ms={hold_ms}", hold_ms / 1000)
 
     def on_document(self, raw: Any) -> Apply[ParsedSettings] | Ignore | Reject:
--- a/dykeshift/node/reload.py
+++ b/dykeshift/node/reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the configuration is read anew, and what may change in service is taken over."""
+"""Handles SIGHUP: reads the configuration again and applies what may change while the balancer serves."""
 
 from __future__ import annotations
 
@@ -12,14 +12,15 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_INTERVAL_S = 0.1  # seconds until a file that could not be read for a moment is read again
-MAX_RETRY_S = 3.0  # seconds for which it is: a new configuration counts 4 s after the signal
+RETRY_INTERVAL_S = 0.1  # between attempts to read the file after a transient error
+RETRY_TIMEOUT_S = 3.0  # a new configuration has to be in force 4 s after the signal
 
 
 class ConfigReload:
-    """Moves to another discovery; upstreams, connections, requests and what was learned stay.
+    """Switches to the discovery address in the new configuration.
 
-    A file that cannot be used changes nothing. All else in it holds from the next start on.
+    Upstreams, connections, requests and learned state stay. A file that cannot be used changes nothing. All
+    other changes in the file take effect at the next start.
     """
 
     def __init__(
@@ -33,33 +34,33 @@
         self.load = load
         self.discovery = discovery
         self.driver = driver
-        self.retry_timer: asyncio.TimerHandle | None = None  # the file could not be read
+        self.retry_timer: asyncio.TimerHandle | None = None  # running while the file cannot be read
 
     def __call__(self) -> None:
         """Handle the signal."""
         if self.retry_timer is not None:
             self.retry_timer.cancel()
             self.retry_timer = None
-        self._read(self.loop.time() + MAX_RETRY_S)
+        self._read(self.loop.time() + RETRY_TIMEOUT_S)
 
-    def _read(self, retries_end: float) -> None:
+    def _read(self, retry_until: float) -> None:
         self.retry_timer = None
         try:
             new = self.load()
         except config.TransientReadError as exc:
-            if self.loop.time() < retries_end:  # nobody sends the signal once more
-                self.retry_timer = self.loop.call_later(RETRY_INTERVAL_S, self._read, retries_end)
+            if self.loop.time() < retry_until:  # the signal is not sent again
+                self.retry_timer = self.loop.call_later(RETRY_INTERVAL_S, self._read, retry_until)
             else:
                 log.error("the old configuration is kept: %s", exc)
         except config.ConfigError as exc:
             log.error("the old configuration is kept: %s", exc)
         else:
-            self._take_over(new)
+            self._apply(new)
 
-    def _take_over(self, new: config.Config) -> None:
+    def _apply(self, new: config.Config) -> None:
         if new.discovery == self.discovery.address:
-            log.info("discovery is the same in the new configuration")
+            log.info("the new configuration has the same discovery address")
             return
-        log.info("discovery is at %s:%d now", *new.discovery)
+        log.info("the discovery address is now %s:%d", *new.discovery)
         self.discovery.change_address(new.discovery)
         self.driver.discovery_address_changed()
--- a/dykeshift/node/service_settings.py
+++ b/dykeshift/node/service_settings.py
@@ -1,4 +1,4 @@
-"""Puts settings into force in a balancer that serves: nothing that is open is lost or begun anew."""
+"""Applies new settings to a serving balancer. Open requests and connections are not lost or restarted."""
 
 from __future__ import annotations
 
@@ -12,16 +12,17 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsApplier:
-    """The parts of the program that go by the settings."""
+    """Holds the parts of the program that depend on the settings."""
 
     driver: Driver
     discovery: DiscoveryWatch
     front: Frontend
 
     def apply(self, new: config.Config) -> bool:
-        """All parts in one turn of the event loop; False, and nothing is changed, if the module failed.
+        """Update all parts within one turn of the event loop.
 
-        Connects under way keep the time-out they began with, and open requests their class.
+        Returns False, with nothing changed, if the decision module failed. Connection attempts in progress
+        keep their time-out, and open requests keep their class.
         """
         if not self.driver.apply_settings(new.settings):
             return False
--- a/tests/node/test_settings_watch.py
+++ b/tests/node/test_settings_watch.py
@@ -1,4 +1,4 @@
-"""Settings in service: the watch at the agent, and what a change does to a balancer that serves."""
+"""The settings watch at the agent, and the effect of changed settings on a serving balancer."""
 
 from __future__ import annotations
 
@@ -30,100 +30,97 @@
     wait_until,
 )
 
-NOTHING = "/v1/settings?from=0&hold_ms=0"  # the first call of a balancer that was started without a version
+FIRST_CALL = "/v1/settings?from=0&hold_ms=0"  # of a balancer that was started without a version
 
 
 def document(version: int, **changes: Any) -> dict[str, Any]:
     return {"version": version, "settings": settings(**changes)}
 
 
-def at(agent: StubLongPollServer) -> str:
+def host_port(agent: StubLongPollServer) -> str:
     return "%s:%d" % agent.address
 
 
-async def started_agent(*documents: dict[str, Any]) -> StubLongPollServer:
-    """An agent that answers its first calls with these, and holds the others."""
+async def start_agent(*responses: dict[str, Any]) -> StubLongPollServer:
+    """An agent that answers its first calls with these and holds the later ones."""
     agent = await StubLongPollServer().start()
-    for one in documents:
-        agent.queue_json(one)
+    for response in responses:
+        agent.queue_json(response)
     return agent
 
 
-def classes(balancer: RunningBalancer) -> list[str]:
+def class_names(balancer: RunningBalancer) -> list[str]:
     return [c.name for c in balancer.frontend.request_reader.classes]
 
 
-def test_a_new_version_is_in_force_for_new_requests_and_open_ones_end_as_they_began() -> None:
+def test_a_new_version_applies_to_new_requests_only() -> None:
     async def main() -> None:
-        stub, agent = await StubServer(never_responds).start(), await started_agent({"version": 0})
-        async with running_balancer(stub, control=at(agent)) as balancer:
-            assert agent.paths[0] == NOTHING
-            busy, kept = await balancer.connect(), await balancer.connect()
+        stub, agent = await StubServer(never_responds).start(), await start_agent({"version": 0})
+        async with running_balancer(stub, control=host_port(agent)) as balancer:
+            assert agent.paths[0] == FIRST_CALL
+            busy, idle = await balancer.connect(), await balancer.connect()
             busy.writer.write(http_request("send", request_id="busy"))
             await wait_until(lambda: len(stub.requests) == 1)
             agent.queue_json(document(4, services=[service("fresh", "pure"), service("check", "pure")]))
-            await wait_until(lambda: classes(balancer) == ["fresh", "check"])
+            await wait_until(lambda: class_names(balancer) == ["fresh", "check"])
             stub.handler = responds_with(http_response(b"new"))
-            assert (await kept.fetch(http_request("fresh", request_id="r1", method="GET"))).body == b"new"
-            assert (
-                "400" in (await kept.fetch(http_request("send", request_id="r2"))).start_line
-            )  # as an unknown class
-            stub.writers[0].write(http_response(b"went on"))
-            assert (await read_message(busy.reader)).body == b"went on"
-            assert len(stub.requests) == 2  # nothing was sent twice
+            assert (await idle.fetch(http_request("fresh", request_id="r1", method="GET"))).body == b"new"
+            # The class "send" is unknown now.
+            assert "400" in (await idle.fetch(http_request("send", request_id="r2"))).start_line
+            stub.writers[0].write(http_response(b"completed"))
+            assert (await read_message(busy.reader)).body == b"completed"
+            assert len(stub.requests) == 2  # neither request was sent twice
             await wait_until(lambda: agent.paths[-1] == "/v1/settings?from=4&hold_ms=2000")
 
     run(main())
 
 
-def test_a_new_process_has_its_agents_version_before_it_listens() -> None:
+def test_a_new_process_has_the_version_of_its_agent_before_it_listens() -> None:
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
-        agent = await started_agent(document(9, services=[service("fresh", "pure")]))
-        async with running_balancer(stub, control=at(agent), settings_version=7) as balancer:
+        agent = await start_agent(document(9, services=[service("fresh", "pure")]))
+        async with running_balancer(stub, control=host_port(agent), settings_version=7) as balancer:
             assert agent.paths[0] == "/v1/settings?from=7&hold_ms=0"
-            assert classes(balancer) == ["fresh"]
+            assert class_names(balancer) == ["fresh"]
 
     run(main())
 
 
-def test_a_new_process_comes_to_the_sound_version_below_a_bad_one_before_it_listens() -> None:
+def test_a_new_process_has_the_valid_version_below_an_invalid_one_before_it_listens() -> None:
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
-        agent = await started_agent(
-            document(9, services=[]), document(8, services=[service("fresh", "pure")])
-        )
-        async with running_balancer(stub, control=at(agent)) as balancer:
-            assert classes(balancer) == ["fresh"]
-            assert agent.paths[:2] == [NOTHING, "/v1/settings?before=9"]
+        agent = await start_agent(document(9, services=[]), document(8, services=[service("fresh", "pure")]))
+        async with running_balancer(stub, control=host_port(agent)) as balancer:
+            assert class_names(balancer) == ["fresh"]
+            assert agent.paths[:2] == [FIRST_CALL, "/v1/settings?before=9"]
 
     run(main())
 
 
-def test_a_silent_agent_holds_a_start_up_for_a_bounded_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_unresponsive_agent_delays_the_start_for_a_limited_time(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(settings_watch, "STARTUP_WAIT_S", 0.05)
 
     async def main() -> None:
-        stub, agent = await StubServer(responds_with(http_response())).start(), await started_agent()
-        async with running_balancer(stub, control=at(agent)) as balancer:
+        stub, agent = await StubServer(responds_with(http_response())).start(), await start_agent()
+        async with running_balancer(stub, control=host_port(agent)) as balancer:
             assert (await balancer.fetch(http_request("check"))).body == b"done"
             agent.queue_json(document(1, services=[service("fresh", "pure")]))
-            await wait_until(lambda: classes(balancer) == ["fresh"])
+            await wait_until(lambda: class_names(balancer) == ["fresh"])
 
     run(main())
 
 
-def test_a_bad_version_is_one_line_and_changes_nothing(caplog: pytest.LogCaptureFixture) -> None:
+def test_an_invalid_version_logs_one_line_and_changes_nothing(caplog: pytest.LogCaptureFixture) -> None:
     async def main() -> None:
         stub, agent = (
             await StubServer(responds_with(http_response())).start(),
-            await started_agent({"version": 0}),
+            await start_agent({"version": 0}),
         )
-        async with running_balancer(stub, control=at(agent)) as balancer:
+        async with running_balancer(stub, control=host_port(agent)) as balancer:
             reader, module = balancer.frontend.request_reader, balancer.frontend.driver.decision_module
             before = module.settings
             agent.queue_json(document(5, services=[service("check", "pure"), service("check", "pure")]))
-            agent.queue_json({"version": 0})  # to the search below it
+            agent.queue_json({"version": 0})  # response to the query for a version below 5
             await wait_until(lambda: agent.paths[-1] == "/v1/settings?from=5&hold_ms=2000")
             assert balancer.frontend.request_reader is reader and module.settings is before
             assert "200" in (await balancer.fetch(http_request("check"))).start_line
@@ -137,53 +134,53 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "response",
     [http_response(b"", "503 None"), http_response(b"{"), http_response(b"[" * 9000), http_response(b"7")],
-    ids=["status", "half", "nested", "number"],
+    ids=["status", "truncated", "nested", "number"],
 )
-def test_what_is_no_document_is_asked_again_after_a_pause(bad: bytes) -> None:
+def test_the_query_is_repeated_after_a_response_that_is_not_a_document(response: bytes) -> None:
     async def main() -> None:
         stub, agent = (
             await StubServer(responds_with(http_response())).start(),
-            await started_agent({"version": 0}),
+            await start_agent({"version": 0}),
         )
-        async with running_balancer(stub, control=at(agent)) as balancer:
-            agent.responses.put_nowait(bad)
+        async with running_balancer(stub, control=host_port(agent)) as balancer:
+            agent.responses.put_nowait(response)
             agent.queue_json(document(2, services=[service("fresh", "pure")]))
-            await wait_until(lambda: classes(balancer) == ["fresh"])
-            assert agent.paths[2] == NOTHING  # not held: the agent may have news
+            await wait_until(lambda: class_names(balancer) == ["fresh"])
+            assert agent.paths[2] == FIRST_CALL  # not held: the agent may have a newer version
 
     run(main())
 
 
-def test_an_agent_that_comes_back_is_heard_again_and_the_balancer_serves_meanwhile(
+def test_the_balancer_serves_while_its_agent_is_unresponsive_and_follows_it_afterwards(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(control, "LONG_POLL_HOLD_MS", 50)
-    monkeypatch.setattr(settings_watch, "ANSWER_GRACE_S", 0.05)
+    monkeypatch.setattr(control, "LONG_POLL_MS", 50)
+    monkeypatch.setattr(settings_watch, "LONG_POLL_GRACE_S", 0.05)
 
     async def main() -> None:
         stub, agent = (
             await StubServer(responds_with(http_response())).start(),
-            await started_agent({"version": 0}),
+            await start_agent({"version": 0}),
         )
-        async with running_balancer(stub, control=at(agent)) as balancer:
+        async with running_balancer(stub, control=host_port(agent)) as balancer:
             await wait_until(lambda: len(agent.paths) == 2)
-            await wait_until(lambda: agent.paths[-1] == NOTHING)  # the held call had no answer
+            await wait_until(lambda: agent.paths[-1] == FIRST_CALL)  # the held call timed out
             assert "200" in (await balancer.fetch(http_request("check"))).start_line
-            agent.responses = asyncio.Queue()  # calls from before stay without an answer
+            agent.responses = asyncio.Queue()  # the calls so far remain without a response
             await wait_until(lambda: len(agent.paths) == 4)
             agent.queue_json(document(3, services=[service("fresh", "pure")]))
-            await wait_until(lambda: classes(balancer) == ["fresh"])
+            await wait_until(lambda: class_names(balancer) == ["fresh"])
 
     run(main())
 
 
-def test_an_agent_that_does_not_hold_calls_is_not_asked_without_end() -> None:
+def test_an_agent_that_does_not_hold_calls_is_not_queried_in_a_busy_loop() -> None:
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
-        agent = await started_agent(*({"version": 0} for _ in range(100)))
-        async with running_balancer(stub, control=at(agent)) as balancer:
+        agent = await start_agent(*({"version": 0} for _ in range(100)))
+        async with running_balancer(stub, control=host_port(agent)) as balancer:
             for n in range(30):
                 assert "200" in (await balancer.fetch(http_request("check", request_id=f"r{n}"))).start_line
             assert len(agent.paths) <= 2
@@ -191,20 +188,24 @@
     run(main())
 
 
-def test_an_unsafe_request_that_may_still_run_is_not_taken_again_under_a_class_made_safe() -> None:
+def test_an_unsafe_request_that_may_still_run_is_not_accepted_again_when_its_class_became_safe() -> None:
+    """An open request keeps the class it began with, so that its repeat cannot make it run twice."""
+
     async def main() -> None:
-        stub, agent = await StubServer(never_responds).start(), await started_agent({"version": 0})
+        stub, agent = await StubServer(never_responds).start(), await start_agent({"version": 0})
         bounds = {**settings()["bounds"], "cancelling": False}
-        async with running_balancer(stub, control=at(agent), settings=settings(bounds=bounds)) as balancer:
-            leaver = await balancer.connect()
-            leaver.writer.write(http_request("send", request_id="once"))
+        async with running_balancer(
+            stub, control=host_port(agent), settings=settings(bounds=bounds)
+        ) as balancer:
+            leaving_client = await balancer.connect()
+            leaving_client.writer.write(http_request("send", request_id="once"))
             await wait_until(lambda: len(stub.requests) == 1)
-            leaver.writer.close()
+            leaving_client.writer.close()
             await wait_until(
                 lambda: all(job.closed for job in balancer.frontend.driver.open_requests.values())
             )
             agent.queue_json(document(2, services=[service("send", "pure")], bounds=bounds))
-            await wait_until(lambda: classes(balancer) == ["send"])
+            await wait_until(lambda: class_names(balancer) == ["send"])
             assert (
                 "409"
                 in (await balancer.fetch(http_request("send", request_id="once", method="GET"))).start_line
@@ -214,13 +215,13 @@
     run(main())
 
 
-def test_times_of_connections_and_drains_are_those_of_the_new_settings() -> None:
+def test_connection_timeouts_and_drain_grace_follow_the_new_settings() -> None:
     async def main() -> None:
         stub, agent = (
             await StubServer(responds_with(http_response())).start(),
-            await started_agent({"version": 0}),
+            await start_agent({"version": 0}),
         )
-        async with running_balancer(stub, control=at(agent)) as balancer:
+        async with running_balancer(stub, control=host_port(agent)) as balancer:
             bounds = {**settings()["bounds"], "keepaliveNs": 5_000_000_000, "connectTimeoutNs": 70_000_000}
             obligations = {**settings()["obligations"], "drainGraceNs": 90_000_000}
             agent.queue_json(document(2, bounds=bounds, obligations=obligations))
@@ -232,13 +233,13 @@
     run(main())
 
 
-def test_settings_that_the_module_fails_over_change_nothing(caplog: pytest.LogCaptureFixture) -> None:
+def test_settings_that_make_the_decision_module_fail_change_nothing(caplog: pytest.LogCaptureFixture) -> None:
     async def main() -> None:
         stub, agent = (
             await StubServer(responds_with(http_response())).start(),
-            await started_agent({"version": 0}),
+            await start_agent({"version": 0}),
         )
-        async with running_balancer(stub, control=at(agent)) as balancer:
+        async with running_balancer(stub, control=host_port(agent)) as balancer:
             module, reader = balancer.frontend.driver.decision_module, balancer.frontend.request_reader
 
             def fail(now: int, settings: Settings) -> list[Action]:
@@ -254,29 +255,27 @@
     run(main())
 
 
-def test_nothing_is_called_where_the_configuration_names_no_control() -> None:
+def test_there_is_no_watch_if_the_configuration_has_no_control_address() -> None:
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
         async with running_balancer(stub) as balancer:
             assert balancer.configuration.control is None and balancer.configuration.settings_version == 0
-            made = start_settings_watch(balancer.configuration, None)  # type: ignore[arg-type]
-            assert made is None
+            watch = start_settings_watch(balancer.configuration, None)  # type: ignore[arg-type]
+            assert watch is None
 
     run(main())
 
 
-def test_a_document_is_read_as_json_whatever_its_framing() -> None:
-    """As an agent may send it in chunks."""
-
+def test_a_document_in_chunked_encoding_is_accepted() -> None:
     async def main() -> None:
         stub, agent = (
             await StubServer(responds_with(http_response())).start(),
-            await started_agent({"version": 0}),
+            await start_agent({"version": 0}),
         )
-        async with running_balancer(stub, control=at(agent)) as balancer:
+        async with running_balancer(stub, control=host_port(agent)) as balancer:
             body = json.dumps(document(2, services=[service("fresh", "pure")])).encode()
             chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n"
             agent.responses.put_nowait(chunked % (len(body), body))
-            await wait_until(lambda: classes(balancer) == ["fresh"])
+            await wait_until(lambda: class_names(balancer) == ["fresh"])
 
     run(main())
