--- a/dykeshift/node/driver.py
+++ b/dykeshift/node/driver.py
@@ -1,4 +1,4 @@
-"""Between the sockets and the decision module: tells it what happens and does what it says, nothing else."""
+"""Connects the sockets with the decision module: reports events to it and carries out its actions."""
 
 from __future__ import annotations
 
@@ -32,28 +32,30 @@
 
 log = logging.getLogger(__name__)
 
-# Nanoseconds kept of the client's time for the way back: an answer that comes as it gives up is none.
+# Kept of the client's timeout for the way back: the client ignores a response that arrives as it gives up.
 RETURN_MARGIN_NS = 5_000_000
-# Nanoseconds before the end of that time by which a final answer leaves if its class's aim is over by then:
-# the process may be held up for 0.15 s just as it is due, and clients wait for some 0.06 s beyond their time.
+# A response that misses the latency target is sent at least this long before the client's timeout. The
+# process may be stalled for 0.15 s just when a response is due, and clients wait for about 0.06 s beyond
+# their timeout.
 STALL_MARGIN_NS = 90_000_000
-TIMER_RETRY_DELAY_S = 1.0  # seconds until a timer that the module failed in is told again
+TIMER_RETRY_DELAY_S = 1.0  # until a timer is reported again after the decision module raised an exception
 
 
 @dataclass(frozen=True, slots=True)
 class ClientResponse:
-    """A final answer. `content_type` is the upstream's."""
+    """The final response to a client."""
 
     status: int
     body: bytes
     content_type: bytes = b"text/plain"
-    retry_after_ns: int = 0  # nanoseconds; 0: not said
+    retry_after_ns: int = 0  # 0: no Retry-After header
 
 
 def response_time_limit_ns(client_timeout_ns: int, latency_target_ns: int) -> int:
-    """How long after its request a final answer leaves at the latest; all in nanoseconds.
+    """Time from a request's arrival by which its final response must be sent, in nanoseconds.
 
-    Before the aim nothing is given up for a hold that may not come: answers until then are worth most.
+    The margin for a stall never shortens the time to below the latency target: responses until then have the
+    full worth, and the stall may not happen.
     """
     return max(
         0, client_timeout_ns - STALL_MARGIN_NS, min(latency_target_ns, client_timeout_ns - RETURN_MARGIN_NS)
@@ -66,21 +68,23 @@
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """A request until it is answered and all its attempts have come back."""
+    """A request, kept until it has had its response and all its attempts have ended."""
 
-    request_id: str  # what the module knows it by: the client's id may come again while this one winds up
+    request_id: str  # unique, unlike the client's id: see `new_request_id`
     client_request: ClientRequest
-    answer_deadline: int  # clock time by which its final answer leaves
+    answer_deadline: int  # clock time by which its final response must be sent
     send_response: Callable[[ClientResponse], None]
-    is_client_waiting: Callable[[], bool]  # whether the client still waits
-    attempts: list[Attempt | None] = field(default_factory=list)  # None: has come back
+    is_client_waiting: Callable[[], bool]
+    attempts: list[Attempt | None] = field(default_factory=list)  # None: has ended
     sent_at_ns: list[int] = field(default_factory=list)
     attempts_in_flight: int = 0
-    closed: bool = False
+    closed: bool = False  # has had its response, or the client has gone
     deadline_timer: asyncio.TimerHandle | None = None
 
 
 class Driver:
+    """Runs the requests that the decision module decides on; all times are in nanoseconds of its clock."""
+
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
@@ -93,8 +97,8 @@
         self.pool = pool
         self.start_watch = start_watch
         self.open_requests: dict[str, OpenRequest] = {}
-        self.request_count = 0  # requests since the start
-        self.stop_deadline: int | None = None  # when all must be answered: the program is being stopped
+        self.request_count = 0  # since the start
+        self.stop_deadline: int | None = None  # during a shutdown: by then all requests must have a response
 
     # ---- events ----
 
@@ -102,19 +106,20 @@
         self._notify_module(self.decision_module.on_start)
 
     def is_id_in_use(self, client_request: ClientRequest) -> bool:
-        """Whether a request of this id may not be taken: it is open, or may still run and must not run twice.
+        """Whether a request must be refused because another one with the same id is still known.
 
-        One that is answered, or whose client has gone, stays until its attempts have come back: others
-        may come with its id again by then, as after a connection that broke.
+        That is so while the other one is open, and while it may still be executed and one of the two must not
+        be executed twice. A request with a response, or without its client, is known until its attempts have
+        ended; its id may be used again before that, for example after a broken connection.
         """
         return any(
-            job.client_request.id == client_request.id
-            and (not job.closed or client_request.is_unsafe or job.client_request.is_unsafe)
-            for job in self.open_requests.values()
+            open_request.client_request.id == client_request.id
+            and (not open_request.closed or client_request.is_unsafe or open_request.client_request.is_unsafe)
+            for open_request in self.open_requests.values()
         )
 
     def new_request_id(self, client_request: ClientRequest) -> str:
-        """A name of its own for the request, which its id is not: see `in_use`."""
+        """A unique id for the request. The client's own id may be in use twice: see `is_id_in_use`."""
         self.request_count += 1
         return f"{client_request.id}/{self.request_count}"
 
@@ -122,13 +127,13 @@
         self,
         request_id: str,
         client_request: ClientRequest,
-        arrived: int,
+        arrived_at: int,
         send_response: Callable[[ClientResponse], None],
         is_client_waiting: Callable[[], bool] = lambda: True,
     ) -> None:
-        """Take a request; `reply` is called exactly once, unless the client goes first."""
-        deadline = arrived + max(0, client_request.client_timeout_ns - RETURN_MARGIN_NS)
-        answer_deadline = arrived + response_time_limit_ns(
+        """Accept a request; `send_response` is called exactly once, unless the client disconnects first."""
+        deadline = arrived_at + max(0, client_request.client_timeout_ns - RETURN_MARGIN_NS)
+        answer_deadline = arrived_at + response_time_limit_ns(
             client_request.client_timeout_ns, client_request.latency_target_ns
         )
         if self.stop_deadline is not None:
@@ -136,10 +141,10 @@
                 min(deadline, self.stop_deadline),
                 min(answer_deadline, self.stop_deadline),
             )
-        job = self.open_requests[request_id] = OpenRequest(
+        open_request = self.open_requests[request_id] = OpenRequest(
             request_id, client_request, answer_deadline, send_response, is_client_waiting
         )
-        self._set_deadline_timer(job)
+        self._set_deadline_timer(open_request)
         request = Request(
             id=request_id,
             class_index=client_request.class_index,
@@ -149,45 +154,49 @@
             is_retry=client_request.is_retry,
             tenant_index=client_request.tenant_index,
         )
-        self._notify_module(self.decision_module.on_request, request, job=job)
+        self._notify_module(self.decision_module.on_request, request, open_request=open_request)
 
     def set_stop_deadline(self, stop_deadline: int) -> None:
-        """The program ends then: what is open is answered by then too, be its client more patient."""
+        """Make all requests end by then, even those with a later deadline, because the process will exit."""
         self.stop_deadline = stop_deadline
-        for job in self.open_requests.values():
-            if job.answer_deadline > stop_deadline:
-                job.answer_deadline = stop_deadline
-                for attempt in job.attempts:
+        for open_request in self.open_requests.values():
+            if open_request.answer_deadline > stop_deadline:
+                open_request.answer_deadline = stop_deadline
+                for attempt in open_request.attempts:
                     if attempt is not None:
                         attempt.deadline_ns = min(attempt.deadline_ns, stop_deadline)
-                self._set_deadline_timer(job)
-
-    def _set_deadline_timer(self, job: OpenRequest) -> None:
-        if job.deadline_timer is not None:
-            job.deadline_timer.cancel()
-        left = max(0, job.answer_deadline - time.monotonic_ns())
-        # Rounded up: a timer that fires early would let the module begin once more in the last instant.
-        job.deadline_timer = self.loop.call_later(left / 1e9 + 0.001, self._expire, job)
+                self._set_deadline_timer(open_request)
+
+    def _set_deadline_timer(self, open_request: OpenRequest) -> None:
+        if open_request.deadline_timer is not None:
+            open_request.deadline_timer.cancel()
+        remaining = max(0, open_request.answer_deadline - time.monotonic_ns())
+        # Rounded up: if the timer fired early, the decision module could still start an attempt just before
+        # the deadline.
+        open_request.deadline_timer = self.loop.call_later(
+            remaining / 1e9 + 0.001, self._on_deadline, open_request
+        )
 
     def client_disconnected(self, request_id: str) -> None:
-        job = self.open_requests.get(request_id)
-        if job is not None and not job.closed:
-            self._close(job)
-            self._notify_module(self.decision_module.on_client_gone, request_id, job=job)
-            self._forget(job)
+        open_request = self.open_requests.get(request_id)
+        if open_request is not None and not open_request.closed:
+            self._close(open_request)
+            self._notify_module(self.decision_module.on_client_gone, request_id, open_request=open_request)
+            self._remove_if_done(open_request)
 
     def apply_list(self, kind: ListKind, listed: list[ListedServer]) -> bool:
-        """Take over a list. Addresses first: what the module decides on it already goes by them.
+        """Apply an update of the server list to the pool and then to the decision module.
 
-        False: the module failed over it and may hold only part of it.
+        The pool comes first, as the module's actions on the update already need the new addresses. Returns
+        False if the module raised an exception; it may then have applied only a part of the update.
         """
         if kind is ListKind.DELTA:
-            for one in listed:
-                self.pool.update_server(one)
+            for server in listed:
+                self.pool.update_server(server)
         else:
             self.pool.replace_servers(listed)
         return self._notify_module(
-            self.decision_module.on_list, ServerListUpdate(kind, tuple(one.entry for one in listed))
+            self.decision_module.on_list, ServerListUpdate(kind, tuple(server.entry for server in listed))
         )
 
     def discovery_failed(self, kind: ListKind) -> None:
@@ -197,68 +206,75 @@
         self._notify_module(self.decision_module.on_discovery_moved)
 
     def apply_settings(self, settings: Settings) -> bool:
-        """Requests that come from now on go by these; False: the module failed over them."""
+        """Use these settings for all further requests; False if the decision module raised an exception."""
         return self._notify_module(self.decision_module.on_settings, settings)
 
-    def _expire(self, job: OpenRequest) -> None:
-        """The client's time is over: what is out has timed out, and the client is told, whatever follows.
+    def _on_deadline(self, open_request: OpenRequest) -> None:
+        """Abort all attempts as timed out, and respond to the client in any case.
 
-        After the answer too: what may not be cancelled would be waited for as long as a server hangs.
+        Attempts of a request that already has its response are aborted as well: those that must not be
+        cancelled would otherwise stay open for as long as a server hangs.
         """
-        for attempt in job.attempts:
+        for attempt in open_request.attempts:
             if attempt is not None:
                 attempt.abort(Outcome.TIMEOUT)
-        if job.attempts_in_flight:
-            # The ends come first: the module knows better whether the answer may be a refusal.
-            self.loop.call_soon(self._answer, job, TIMEOUT_RESPONSE)
+        if open_request.attempts_in_flight:
+            # The module learns first how the attempts ended: it can decide whether the response may be a
+            # refusal.
+            self.loop.call_soon(self._respond_without_decision, open_request, TIMEOUT_RESPONSE)
         else:
-            self._answer(job, TIMEOUT_RESPONSE)
-
-    def _ended(self, job: OpenRequest, number: int, server: int, end: AttemptResult) -> None:
-        job.attempts[number] = None
-        job.attempts_in_flight -= 1
-        if end.outcome is Outcome.OK and end.response is not None and not job.closed:
-            kind = end.response.headers.get(b"content-type", b"application/octet-stream")
-            self._finish(job, ClientResponse(200, end.response.body, kind))
-        elif not job.closed and not job.is_client_waiting():
-            self.client_disconnected(job.request_id)  # else the module would look for another upstream
-        told = AttemptEnd(
-            job.request_id,
-            number,
-            server,
-            end.outcome,
-            time.monotonic_ns() - job.sent_at_ns[number],
-            job.closed,
-            end.load_report,
+            self._respond_without_decision(open_request, TIMEOUT_RESPONSE)
+
+    def _on_attempt_end(
+        self, open_request: OpenRequest, attempt_index: int, server_id: int, result: AttemptResult
+    ) -> None:
+        open_request.attempts[attempt_index] = None
+        open_request.attempts_in_flight -= 1
+        if result.outcome is Outcome.OK and result.response is not None and not open_request.closed:
+            content_type = result.response.headers.get(b"content-type", b"application/octet-stream")
+            self._close_and_respond(open_request, ClientResponse(200, result.response.body, content_type))
+        elif not open_request.closed and not open_request.is_client_waiting():
+            self.client_disconnected(open_request.request_id)  # or the module might start another one
+        event = AttemptEnd(
+            open_request.request_id,
+            attempt_index,
+            server_id,
+            result.outcome,
+            time.monotonic_ns() - open_request.sent_at_ns[attempt_index],
+            open_request.closed,
+            result.load_report,
         )
-        self._notify_module(self.decision_module.on_attempt_end, told, job=job)
-        self._forget(job)
+        self._notify_module(self.decision_module.on_attempt_end, event, open_request=open_request)
+        self._remove_if_done(open_request)
 
-    # ---- the module ----
+    # ---- the decision module ----
 
     def _notify_module(
-        self, method: Callable[..., list[Action]], *args: object, job: OpenRequest | None = None
+        self, method: Callable[..., list[Action]], *args: object, open_request: OpenRequest | None = None
     ) -> bool:
-        """One event to the module, and what it wants done.
+        """Report an event to the decision module and carry out the actions that it returns.
 
-        Protects every other request from a fault in the module: this one fails, its attempts are
-        called off, and what the module had noted so far is carried out, so that its counts stay true.
-        Says whether the module did its part.
+        If the module raises an exception, only the request of the event fails, and its attempts are
+        cancelled. The actions that the module had recorded before the exception are still carried out, so
+        that its counts stay correct. Returns whether the module handled the event.
         """
         try:
             actions = method(time.monotonic_ns(), *args)
         except Exception:
-            log.exception("the module failed in %s", method.__name__)
-            if job is not None:
-                self._answer(job, FAILED_RESPONSE)
+            log.exception("the decision module raised an exception in %s", method.__name__)
+            if open_request is not None:
+                self._respond_without_decision(open_request, FAILED_RESPONSE)
             return False
         self._execute(actions)
         return True
 
-    def _timer(self, token: str) -> None:
-        """Protects what the module does again and again, its watch among it, from ending with one fault."""
+    def _on_timer(self, token: str) -> None:
+        """Report a timer; repeat it after an exception, so that the module's periodic work does not stop.
+
+        That work includes the watch of discovery.
+        """
         if not self._notify_module(self.decision_module.on_timer, token):
-            self.loop.call_later(TIMER_RETRY_DELAY_S, self._timer, token)
+            self.loop.call_later(TIMER_RETRY_DELAY_S, self._on_timer, token)
 
     def _execute(self, actions: list[Action]) -> None:
         for action in actions:
@@ -266,88 +282,94 @@
                 self._send(action)
             elif isinstance(action, SetTimer):
                 wait = max(0, action.fire_at - time.monotonic_ns()) / 1e9
-                self.loop.call_later(wait, self._timer, action.token)
+                self.loop.call_later(wait, self._on_timer, action.token)
             elif isinstance(action, Cancel):
                 self._cancel(action)
             elif isinstance(action, Refuse):
-                self._final(
+                self._respond(
                     action.request_id,
                     ClientResponse(503, b"refused: try again\n", retry_after_ns=action.retry_after),
                 )
             elif isinstance(action, Fail):
-                self._final(action.request_id, FAILED_RESPONSE)
+                self._respond(action.request_id, FAILED_RESPONSE)
             elif isinstance(action, Watch):
                 self.start_watch()
             elif isinstance(action, Log):
                 log.info("%s", action.text)
 
     def _send(self, action: Send) -> None:
-        job = self.open_requests.get(action.request_id)
-        if job is None:
-            log.error("the module sends for a request that is over: %s", action.request_id)
+        open_request = self.open_requests.get(action.request_id)
+        if open_request is None:
+            log.error("the decision module sent an attempt for unknown request %s", action.request_id)
             return
-        number, now = len(job.attempts), time.monotonic_ns()
-        until = min(job.answer_deadline, now + action.timeout) if action.timeout else job.answer_deadline
-        if job.closed:
-            until = 0  # nothing more goes out for it, yet the module gets its outcome
-        ended = partial(self._ended, job, number, action.server_id)
+        attempt_index, now = len(open_request.attempts), time.monotonic_ns()
+        deadline = (
+            min(open_request.answer_deadline, now + action.timeout)
+            if action.timeout
+            else open_request.answer_deadline
+        )
+        if open_request.closed:
+            deadline = 0  # nothing is sent any more, but the module is informed of the attempt's outcome
+        on_end = partial(self._on_attempt_end, open_request, attempt_index, action.server_id)
         attempt = self.pool.start_attempt(
             action.server_id,
-            job.client_request.message,
-            until,
-            ended,
+            open_request.client_request.message,
+            deadline,
+            on_end,
             action.start_before,
-            job.is_client_waiting,
+            open_request.is_client_waiting,
         )
-        job.attempts.append(attempt)
-        job.sent_at_ns.append(now)
-        job.attempts_in_flight += 1
-        if action.timeout and until < job.answer_deadline:
-            self.loop.call_later((until - now) / 1e9, attempt.abort, Outcome.TIMEOUT)
+        open_request.attempts.append(attempt)
+        open_request.sent_at_ns.append(now)
+        open_request.attempts_in_flight += 1
+        if action.timeout and deadline < open_request.answer_deadline:
+            self.loop.call_later((deadline - now) / 1e9, attempt.abort, Outcome.TIMEOUT)
 
     def _cancel(self, action: Cancel) -> None:
-        job = self.open_requests.get(action.request_id)
-        if job is None or action.attempt_index >= len(job.attempts):
+        open_request = self.open_requests.get(action.request_id)
+        if open_request is None or action.attempt_index >= len(open_request.attempts):
             return
-        attempt = job.attempts[action.attempt_index]
+        attempt = open_request.attempts[action.attempt_index]
         if attempt is not None:
             attempt.abort(Outcome.CANCELLED)
 
-    # ---- answers ----
+    # ---- responses ----
 
-    def _final(self, request_id: str, response: ClientResponse) -> None:
-        job = self.open_requests.get(request_id)
-        if job is not None and not job.closed:
-            self._finish(job, response)
-            self._forget(job)
+    def _respond(self, request_id: str, response: ClientResponse) -> None:
+        open_request = self.open_requests.get(request_id)
+        if open_request is not None and not open_request.closed:
+            self._close_and_respond(open_request, response)
+            self._remove_if_done(open_request)
 
-    def _answer(self, job: OpenRequest, response: ClientResponse) -> None:
-        """An answer that is this program's own: the module is told that the request is over."""
-        if job.closed:
+    def _respond_without_decision(self, open_request: OpenRequest, response: ClientResponse) -> None:
+        """Respond without a decision of the module, and inform it that the request has ended."""
+        if open_request.closed:
             return
-        self._finish(job, response)
-        self._notify_module(self.decision_module.on_client_gone, job.request_id, job=job)
-        for attempt in job.attempts:
+        self._close_and_respond(open_request, response)
+        self._notify_module(
+            self.decision_module.on_client_gone, open_request.request_id, open_request=open_request
+        )
+        for attempt in open_request.attempts:
             if attempt is not None:
                 attempt.abort(Outcome.CANCELLED)
-        self._forget(job)
+        self._remove_if_done(open_request)
 
-    def _finish(self, job: OpenRequest, response: ClientResponse) -> None:
-        self._close(job)
-        job.send_response(response)
+    def _close_and_respond(self, open_request: OpenRequest, response: ClientResponse) -> None:
+        self._close(open_request)
+        open_request.send_response(response)
 
-    def _close(self, job: OpenRequest) -> None:
-        """Nothing is sent for it from here on: what waits for a connection is withdrawn.
+    def _close(self, open_request: OpenRequest) -> None:
+        """Mark the request as closed and withdraw its attempts that still wait for a connection.
 
-        Not the module's to say: to withdraw what was never written is no cancel, and always allowed.
+        The module is not asked: withdrawing an attempt that was never sent is no cancel, and always allowed.
         """
-        job.closed = True
-        for attempt in job.attempts:
+        open_request.closed = True
+        for attempt in open_request.attempts:
             if attempt is not None and attempt.connection is None:
                 attempt.abort(Outcome.NOT_SENT)
 
-    def _forget(self, job: OpenRequest) -> None:
-        if job.closed and not job.attempts_in_flight:
-            self.open_requests.pop(job.request_id, None)
-            if job.deadline_timer is not None:
-                job.deadline_timer.cancel()
+    def _remove_if_done(self, open_request: OpenRequest) -> None:
+        if open_request.closed and not open_request.attempts_in_flight:
+            self.open_requests.pop(open_request.request_id, None)
+            if open_request.deadline_timer is not None:
+                open_request.deadline_timer.cancel()
--- a/dykeshift/node/http1.py
+++ b/dykeshift/node/http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages within bounds: llhttp's callbacks gathered into whole messages."""
+"""HTTP/1.1 messages of limited size, assembled from the callbacks of the llhttp parser."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 MAX_BODY_BYTES = 64 * 1024
 MAX_HEAD_BYTES = 16 * 1024
 MAX_HEADERS = 64
-MAX_CHUNKED_SIZE_MULTIPLE = 4  # a chunked body may take this many times its size on the wire, no more
+MAX_CHUNKED_SIZE_MULTIPLE = 4  # a chunked body may take this multiple of the largest body on the wire
 
 
 class HasDescriptor(Protocol):
@@ -16,29 +16,29 @@
 
 
 def has_input(socket: HasDescriptor) -> bool:
-    """Whether bytes, a close or, at a listener, a connection have come that the event loop has not yet."""
+    """Whether input has arrived that the event loop has not read: bytes, a close, or a pending connection."""
     poll = select.poll()
     poll.register(socket.fileno(), select.POLLIN | select.POLLRDHUP)
     return bool(poll.poll(0))
 
 
 def has_peer_closed(socket: HasDescriptor) -> bool:
-    """Whether the peer sends nothing more, or is gone, be there bytes from before it or not."""
+    """Whether the peer has closed, at least its sending side, even if earlier bytes are still unread."""
     poll = select.poll()
     poll.register(socket.fileno(), select.POLLRDHUP)
     return bool(poll.poll(0))
 
 
 class UnacceptableMessage(Exception):
-    """A message out of its bounds; `status` is what a server answers to it."""
+    """A message over a limit or of an unsupported kind; `status` is that of a server's response to it."""
 
     def __init__(self, status: int) -> None:
-        super().__init__(f"message is not acceptable ({status})")
+        super().__init__(f"HTTP message is not acceptable (status {status})")
         self.status = status
 
 
 class MessageAssembler:
-    """Collects one message at a time from a parser's callbacks; subclasses say what follows a whole one."""
+    """Collects one message at a time from a parser's callbacks; subclasses handle the complete message."""
 
     __slots__ = ("headers", "header_count", "body", "bytes_fed", "in_head", "max_body")
 
@@ -54,10 +54,11 @@
         self.in_head = True
 
     def count_bytes(self, size: int) -> None:
-        """Called with each piece once it is parsed, unless it made a message whole.
+        """Check the number of bytes passed to the parser so far against the limits.
 
-        Protects the memory limit: the parser keeps an unfinished header, chunk extension or
-        trailer without any call, so only the bytes fed to it tell how much that is.
+        To be called after each piece of input that did not complete a message. This keeps memory within its
+        limit: the parser buffers an incomplete header, chunk extension or trailer without any callback, so
+        that only the number of bytes passed to it shows how much it holds.
         """
         self.bytes_fed += size
         if self.in_head and self.bytes_fed > MAX_HEAD_BYTES:
@@ -70,7 +71,7 @@
         if self.header_count > MAX_HEADERS or len(name) + len(value or b"") > MAX_HEAD_BYTES:
             raise UnacceptableMessage(431)
         name, value = name.lower(), (value or b"").strip()
-        # Joined, as HTTP reads a header that comes twice: two ids or deadlines are then no sound one.
+        # HTTP joins the values of repeated headers. Two ids or deadlines then fail validation.
         self.headers[name] = self.headers[name] + b", " + value if name in self.headers else value
 
     def on_headers_complete(self) -> None:
@@ -79,7 +80,7 @@
         if coding is not None and coding.lower() != b"chunked":
             raise UnacceptableMessage(
                 501
-            )  # the parser reads what has any other coding before it as plain chunks
+            )  # the parser would take a body with a further coding for a plain chunked one
         length = self.headers.get(b"content-length", b"0")
         if length.isdigit() and int(length) > self.max_body:
             raise UnacceptableMessage(413)
@@ -91,6 +92,6 @@
 
 
 def error_status(error: Exception) -> int:
-    """What a server answers: as a callback reported through the parser, if that is what stopped it."""
+    """Status of a server's response: that of the callback which stopped the parser, or else 400."""
     cause = error if isinstance(error, UnacceptableMessage) else error.__context__
     return cause.status if isinstance(cause, UnacceptableMessage) else 400
--- a/dykeshift/node/server.py
+++ b/dykeshift/node/server.py
@@ -1,4 +1,4 @@
-"""The clients' side: their connections, one answer to each request, and /ready."""
+"""HTTP server for clients: their connections, one response to each request, and /ready."""
 
 from __future__ import annotations
 
@@ -21,20 +21,19 @@
 
 log = logging.getLogger(__name__)
 
-SWEEP_INTERVAL_S = 0.1  # seconds between two looks at connections that do nothing
-FIRST_REQUEST_TIMEOUT_S = (
-    2.5  # seconds from connecting for the first request to come whole, whatever trickles in
-)
-TRANSFER_TIMEOUT_S = 2.5  # seconds for a later one to come whole, or for an answer to be read
-BACKLOG_DATA_WINDOW_S = (
-    0.03  # seconds from accepting a connection in which its first bytes may have waited with it
-)
-KEEPALIVE_TIMEOUT_S = 30.0  # seconds that a connection is kept after an answer
-SHORT_KEEPALIVE_TIMEOUT_S = 2.0  # the same where one request was all that came, and for all in a crowd
-CROWDED_SHARE = 0.5  # of the limit on connections: so many that have been answered are one
-LINGERING_CLOSE_TIMEOUT_S = (
-    0.5  # seconds in which a client may go on sending after its last answer, so that it sees it
-)
+SWEEP_INTERVAL_S = 0.1  # between two checks of all connections for timeouts
+# From connecting until the first request is complete, however slowly its bytes arrive.
+FIRST_REQUEST_TIMEOUT_S = 2.5
+TRANSFER_TIMEOUT_S = 2.5  # until a later request is complete, or until a response has been sent
+# Bytes read this soon after a connection is accepted may have waited in the backlog together with it.
+BACKLOG_DATA_WINDOW_S = 0.03
+KEEPALIVE_TIMEOUT_S = 30.0  # idle time after a response
+SHORT_KEEPALIVE_TIMEOUT_S = 2.0  # idle time after a connection's first response, and after all if crowded
+# The frontend is crowded if more than this share of the allowed connections have had a response.
+CROWDED_SHARE = 0.5
+# After its last response a client may go on sending for this long. Closing at once would reset the
+# connection, and the client might lose the response.
+LINGERING_CLOSE_TIMEOUT_S = 0.5
 _REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
@@ -66,7 +65,7 @@
 
 
 class Frontend:
-    """All client connections together, within a bound."""
+    """All client connections, up to a maximum number."""
 
     def __init__(
         self,
@@ -80,11 +79,12 @@
         self.request_reader = request_reader
         self.max_connections = max_connections
         self.connections: set[ClientConnection] = set()
-        self.served_connections = 0  # those of them that have been answered
-        self.is_stopping = self.closes_after_response = False  # no longer ready; letting go of the clients
-        self.refuses_requests = False  # nothing is begun any more
+        self.served_connections = 0  # connections that have had at least one response
+        # If stopping, /ready answers that the balancer is not ready.
+        self.is_stopping = self.closes_after_response = False
+        self.refuses_requests = False
         self.sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self.close_timed_out_connections)
-        self.loop_watch = StallDetector(loop)
+        self.stall_detector = StallDetector(loop)
 
     def new_connection(self) -> ClientConnection:
         return ClientConnection(self)
@@ -92,42 +92,44 @@
     def is_ready(self) -> bool:
         return not self.is_stopping and self.driver.pool.has_ready_server()
 
-    def add_connection(self, client: ClientConnection) -> None:
-        """Count a new connection in; over the limit, another makes room.
+    def add_connection(self, connection: ClientConnection) -> None:
+        """Register a new connection; over the limit, close an idle one, or the new one if none is idle.
 
-        Protects the limit on descriptors, and the usual clients from those that connect and say
-        nothing: after those that have had their last answer these go first, the oldest of them, then who
-        asked once and stayed, then who has been idle longest.
+        This keeps the process within its limit on descriptors and protects regular clients from clients that
+        connect and send nothing. Connections are closed in this order: those that have had their last
+        response, those without any request, those with one request, all others; within each group the one
+        that has been inactive longest goes first.
         """
-        self.connections.add(client)
+        self.connections.add(connection)
         if len(self.connections) > self.max_connections:
-            idle = [c for c in self.connections if (c.is_idle() or c.is_lingering()) and c is not client]
+            idle = [c for c in self.connections if (c.is_idle() or c.is_lingering()) and c is not connection]
             idle.sort(key=lambda c: (not c.is_lingering(), min(c.response_count, 2), c.last_active_at))
-            next((c for c in idle if not c.has_input()), client).abort()
+            next((c for c in idle if not c.has_input()), connection).abort()
 
     def close_timed_out_connections(self) -> None:
         now = self.loop.time()
-        for client in list(self.connections):
-            client.close_if_timed_out(now)
+        for connection in list(self.connections):
+            connection.close_if_timed_out(now)
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.close_timed_out_connections)
 
     def is_crowded(self) -> bool:
         return self.served_connections > self.max_connections * CROWDED_SHARE
 
     def close_idle(self) -> None:
-        """Close connections on which no request has arrived, be it unread."""
-        for client in list(self.connections):
-            if client.is_idle() and not client.has_input():
-                client.abort()
+        """Close idle connections, except those with input that has arrived but has not been read yet."""
+        for connection in list(self.connections):
+            if connection.is_idle() and not connection.has_input():
+                connection.abort()
 
     def refuse_incomplete_requests(self) -> None:
-        """Service ends: turn away whose request has not come whole yet, and all that come from now on.
+        """Refuse all requests that are incomplete at this moment, and all that arrive from now on.
 
-        A request whose last byte comes as the process ends is taken on; its client has to have an answer.
+        Called at the end of service. Otherwise the last byte of a request could arrive just as the process
+        exits: the request would count as accepted, but its client would never get the response it is due.
         """
         self.refuses_requests = True
-        for client in list(self.connections):
-            client.refuse_incomplete_request()
+        for connection in list(self.connections):
+            connection.refuse_incomplete_request()
 
 
 class ClientConnection(MessageAssembler, asyncio.Protocol):
@@ -155,76 +157,79 @@
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.target = b""
-        self.has_open_request = False  # a request has been taken and not answered
-        self.is_complete = False
-        self.is_pipelined = False  # more than one request at a time has come
+        self.has_open_request = False  # a request is complete and has had no response yet
+        self.is_complete = False  # the parser has seen the end of a request that is not handled yet
+        self.is_pipelined = False  # a request began before the response to the previous one
         self.keep_alive = True
-        self.discards_input = False  # what comes from it is dropped
-        self.request_id = ""  # the driver's name of the request that it has
-        self.request_started_ns = 0  # when the first byte of the request came
-        self.connected_at = self.last_active_at = frontend.loop.time()  # since: when it last did something
-        self.earliest_connect_at = frontend.loop_watch.earliest_arrival()  # to be accepted, at the earliest
+        self.discards_input = False  # the last response has been sent; further input is ignored
+        self.request_id = ""  # the driver's id of the open request
+        self.request_started_ns = 0  # earliest time at which its first byte may have arrived; 0: no request
+        self.connected_at = self.last_active_at = frontend.loop.time()
+        # The connection may have waited in the backlog since then.
+        self.earliest_connect_at = frontend.stall_detector.earliest_arrival()
         self.response_count = 0
 
     def is_idle(self) -> bool:
-        """Idle: no byte of a request has come that is not answered, and no answer waits to be read."""
+        """Whether there is no request, not even a partial one, and all responses have been sent."""
         return (
             not self.has_open_request
             and not self.request_started_ns
             and not self.discards_input
-            and not self.has_unread_response()
+            and not self.has_unsent_response()
         )
 
     def is_lingering(self) -> bool:
-        """Has had its last answer, and may close."""
-        return self.discards_input and not self.has_unread_response()
+        """Whether the last response has been sent, so that the connection may be closed."""
+        return self.discards_input and not self.has_unsent_response()
 
-    def has_unread_response(self) -> bool:
+    def has_unsent_response(self) -> bool:
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
     def is_connected(self) -> bool:
-        """Whether its close has not come, be it one that the event loop has not told yet."""
+        """Whether the client has not closed; a close that the event loop has yet to report counts too."""
         return self.transport is not None and not has_peer_closed(self.transport.get_extra_info("socket"))
 
     def has_input(self) -> bool:
         return self.transport is not None and has_input(self.transport.get_extra_info("socket"))
 
     def close_if_timed_out(self, now: float) -> None:
-        """Let go of who is slow, silent or done.
+        """Close the connection, or reject its partial request, if its client was too slow or idle too long.
 
-        Protects descriptors: a first request is due from connecting on, however its bytes trickle in,
-        and who was turned away does not hold its connection by sending on.
+        This frees descriptors. The time for the first request runs from connecting, so that sending single
+        bytes does not extend it, and a client that has had its last response cannot keep its connection open
+        by sending more.
         """
         if self.has_open_request:
             return
         if self.discards_input:
-            late = now - self.last_active_at > (
-                LINGERING_CLOSE_TIMEOUT_S if not self.has_unread_response() else TRANSFER_TIMEOUT_S
+            timed_out = now - self.last_active_at > (
+                LINGERING_CLOSE_TIMEOUT_S if not self.has_unsent_response() else TRANSFER_TIMEOUT_S
             )
         elif not self.response_count:
-            late = now - self.connected_at > FIRST_REQUEST_TIMEOUT_S
+            timed_out = now - self.connected_at > FIRST_REQUEST_TIMEOUT_S
         elif self.is_idle():
-            # Clients that ask once and stay would take the connections of those that come back.
-            late = now - self.last_active_at > (
+            # Clients that stay connected after a single request would take up the connections of clients that
+            # send several.
+            timed_out = now - self.last_active_at > (
                 SHORT_KEEPALIVE_TIMEOUT_S
                 if self.response_count == 1 or self.frontend.is_crowded()
                 else KEEPALIVE_TIMEOUT_S
             )
         else:
-            late = now - self.last_active_at > TRANSFER_TIMEOUT_S
-        if late and self.request_started_ns and not self.discards_input:
+            timed_out = now - self.last_active_at > TRANSFER_TIMEOUT_S
+        if timed_out and self.request_started_ns and not self.discards_input:
             self._reject(ClientResponse(408, b"the request did not come in time\n"))
-        elif late and not self.has_input():
+        elif timed_out and not self.has_input():
             self.abort()
 
     def refuse_incomplete_request(self) -> None:
-        """Turn away a request of which only a part has come."""
+        """Refuse the request if only a part of it has arrived."""
         if self.request_started_ns and not self.has_open_request and not self.discards_input:
             self._reject(SERVICE_ENDED_RESPONSE)
 
     def abort(self) -> None:
-        # Out of the count at once: its end is told later, and until then it would be let go once more
-        # for each one that comes, and they would all stay.
+        # Removed at once, as connection_lost is called only later. Until then it would be chosen again for
+        # each new connection over the limit, and none of the others would be closed.
         self.frontend.connections.discard(self)
         if self.transport is not None:
             self.transport.abort()
@@ -239,8 +244,8 @@
         if self.discards_input or self.parser is None:
             return
         if not self.request_started_ns and not self.has_open_request:
-            # By the earliest time that it may have come: a request may have waited while the process was held
-            # up, and its client counts from its sending.
+            # The earliest possible arrival counts: a request may have waited while the process was stalled,
+            # and its client's timeout runs from when it was sent.
             self.request_started_ns = int(self._earliest_arrival() * 1e9)
             self.last_active_at = self.frontend.loop.time()
         try:
@@ -248,7 +253,7 @@
             if not self.is_complete:
                 self.count_bytes(len(data))
         except httptools.HttpParserUpgrade:
-            # The parser leaves the body of such a request unread: it would go on without it.
+            # The parser does not read the body of such a request, so it would be handled without its body.
             self._reject(ClientResponse(400, b"no upgrade is offered\n"))
         except (httptools.HttpParserError, UnacceptableMessage) as exc:
             self._reject(ClientResponse(error_status(exc), b"unacceptable or malformed HTTP\n"))
@@ -259,11 +264,12 @@
             self._handle_request()
 
     def _earliest_arrival(self) -> float:
-        """When the bytes that have just been read may have come, in seconds of the loop's clock.
+        """Earliest time at which the bytes just read may have arrived, in seconds of the loop's clock.
 
-        What is read at once on a new connection may have waited for as long as the connection itself.
+        Bytes that are read right after the connection was accepted may have waited for as long as the
+        connection itself.
         """
-        earliest = self.frontend.loop_watch.earliest_arrival()
+        earliest = self.frontend.stall_detector.earliest_arrival()
         if not self.response_count and self.frontend.loop.time() - self.connected_at < BACKLOG_DATA_WINDOW_S:
             return min(earliest, self.earliest_connect_at)
         return earliest
@@ -316,7 +322,7 @@
         self.has_open_request = True
         method = self.parser.get_method()
         if method == b"HEAD":
-            self.keep_alive = False  # its answer would have to come without the body that all here have
+            self.keep_alive = False  # a response to HEAD must have no body, but all responses here have one
         if self.target.partition(b"?")[0] == b"/ready":
             ready = self.frontend.is_ready()
             self.send_response(
@@ -331,11 +337,12 @@
             if self.frontend.driver.is_id_in_use(client_request):
                 raise BadRequest(409, "x-request-id is in use")
         except BadRequest as exc:
-            self.keep_alive = False  # who asks like this goes on like this, at full speed
+            self.keep_alive = False  # such a client usually repeats the request at once, without limit
             self.send_response(ClientResponse(exc.status, f"{exc}\n".encode()))
             return
         assert self.transport is not None
-        if has_peer_closed(self.transport.get_extra_info("socket")):  # told by the loop a turn later
+        # The event loop reports a close that has already arrived only in its next iteration.
+        if has_peer_closed(self.transport.get_extra_info("socket")):
             self.has_open_request = False
             self.abort()
             return
@@ -348,17 +355,18 @@
                 self.send_response,
                 self.is_connected,
             )
-        except Exception:  # the program's own fault: an attempt may be out, so this is no refusal
-            log.exception("request %s", client_request.id)
-            self.frontend.driver.client_disconnected(self.request_id)  # else it would answer the next request
+        except Exception:  # a bug in the balancer: an attempt may have been sent, so this is no refusal
+            log.exception("unexpected error while starting request %s", client_request.id)
+            # Otherwise its late response would be taken for that of the next request.
+            self.frontend.driver.client_disconnected(self.request_id)
             if self.has_open_request:
                 self.send_response(FAILED_RESPONSE)
 
     def send_response(self, response: ClientResponse) -> None:
         if self.transport is None or not self.has_open_request:
             return
-        # In a crowd a first answer ends its connection: many clients ask once and stay, and those that
-        # come back would find no room, nor a descriptor of their own to come with.
+        # While the frontend is crowded, the first response closes its connection: many clients send one
+        # request and stay connected, and clients that come back would find no free connection or descriptor.
         keep_alive = (
             self.keep_alive
             and not self.frontend.closes_after_response
@@ -369,17 +377,18 @@
         self.last_active_at, self.response_count = self.frontend.loop.time(), self.response_count + 1
         self.transport.write(encode_response(response, keep_alive))
         if not keep_alive:
-            # Closed outright, what the client still sends would be met by a reset, which can take the
-            # answer with it: read on until it closes, or for LINGERING_CLOSE_TIMEOUT_S at the most.
+            # If the socket were closed now, further bytes from the client would cause a reset, which can
+            # destroy the response before it is read. So input is read and discarded until the client closes,
+            # but for LINGERING_CLOSE_TIMEOUT_S at most.
             self.discards_input = True
             self.transport.write_eof()
 
     def _reject(self, response: ClientResponse) -> None:
-        """Answer what is no single sound and whole request, and close.
+        """Respond to input that is not exactly one valid and complete request, and close the connection.
 
-        Protects against serving one request of several that came together, or one with unreadable
-        bytes behind it: nobody can tell what such a client takes for the answer to what. One that is
-        with the driver already is given up, and may have run.
+        No request is served if several arrived together or if malformed bytes follow it, because the client
+        could assign the response to the wrong request. A request that the driver already has is abandoned,
+        but a server may have executed it.
         """
         self.keep_alive, self.is_complete = False, False
         if self.has_open_request:
