--- a/tests/node/test_rest.py
+++ b/tests/node/test_rest.py
@@ -1,4 +1,8 @@
-"""Connections that rest after an answer: how long by the real clock, and what an attempt does instead."""
+"""The delay before a connection is reused, and the extra connections that avoid long waits.
+
+After a response a connection is not reused for a short time, because a server may respond twice to one
+request and the second response would be taken for that of the next request.
+"""
 
 from __future__ import annotations
 
@@ -11,27 +15,30 @@
 from dykeshift.node import upstream
 from dykeshift.node.upstream import Pool
 from tests.node.stubs import Message, StubServer, http_response, run, responds_with, wait_until
-from tests.node.test_upstream import Shot, make_pool
+from tests.node.test_upstream import RecordedAttempt, create_pool
+
+LONG_DELAY_S = 3600.0  # longer than any test: the connection is not reused within it
 
-LONG_REST = 3600.0  # seconds: what rests is not used again in a test
 
+class ManualLoop:
+    """Replaces a pool's event loop by one whose clock lags, and whose timers fire when the test says so.
 
-class SlowClock:
-    """The loop as a pool sees it; its clock is behind, as that of a busy loop is, and timers fire early."""
+    The clock of a busy event loop lags behind the real one, so that its timers may fire early.
+    """
 
     def __init__(self, pool: Pool) -> None:
         self.loop = pool.loop
-        self.lag = 0.0
+        self.clock_lag_s = 0.0
         self.timers: list[tuple[Any, ...]] = []
         pool.loop = self  # type: ignore[assignment]
 
     def time(self) -> float:
-        return self.loop.time() - self.lag
+        return self.loop.time() - self.clock_lag_s
 
     def call_later(self, delay: float, callback: Any, *args: Any) -> None:
         self.timers.append((callback, *args))
 
-    def fire(self) -> None:
+    def fire_timer(self) -> None:
         callback, *args = self.timers.pop()
         callback(*args)
 
@@ -39,177 +46,175 @@
         return getattr(self.loop, name)
 
 
-async def all_rest(pool: Pool, attempts: int = 1) -> None:
-    """So many connections, all of which rest from now on."""
-    shots = [Shot(pool) for _ in range(attempts)]
-    for shot in shots:
-        await shot.end()
-    pool.reuse_delay_s, pool.attempts_since_extra_connection = LONG_REST, 0
+async def open_delayed_connections(pool: Pool, count: int = 1) -> None:
+    """Open this many connections, none of which may be reused within LONG_DELAY_S."""
+    attempts = [RecordedAttempt(pool) for _ in range(count)]
+    for recorded in attempts:
+        await recorded.result()
+    pool.reuse_delay_s, pool.attempts_since_extra_connection = LONG_DELAY_S, 0
 
 
-def test_a_connection_rests_by_the_real_clock_however_late_the_loops_is() -> None:
+def test_reuse_delay_does_not_depend_on_the_clock_of_the_event_loop() -> None:
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
-        pool = make_pool(stub.address)
-        pool.reuse_delay_s = LONG_REST
-        clock = SlowClock(pool)
-        clock.lag = 2 * LONG_REST  # its answer is read late in a long turn of the loop
-        await Shot(pool).end()
-        clock.lag = 0.0
-        shot = Shot(pool)
-        assert shot.attempt.connection is None and len(clock.timers) == 1
+        pool = create_pool(stub.address)
+        pool.reuse_delay_s = LONG_DELAY_S
+        loop = ManualLoop(pool)
+        loop.clock_lag_s = 2 * LONG_DELAY_S  # the response is read late in a long loop iteration
+        await RecordedAttempt(pool).result()
+        loop.clock_lag_s = 0.0
+        recorded = RecordedAttempt(pool)
+        assert recorded.attempt.connection is None and len(loop.timers) == 1
 
     run(main())
 
 
-def test_a_timer_that_fires_early_does_not_shorten_the_rest() -> None:
+def test_timer_that_fires_early_does_not_shorten_the_reuse_delay() -> None:
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
-        pool = make_pool(stub.address)
-        await all_rest(pool)
-        clock = SlowClock(pool)
-        shot = Shot(pool)
+        pool = create_pool(stub.address)
+        await open_delayed_connections(pool)
+        loop = ManualLoop(pool)
+        recorded = RecordedAttempt(pool)
         for _ in range(3):
-            clock.fire()
-            assert shot.attempt.connection is None and len(clock.timers) == 1
+            loop.fire_timer()
+            assert recorded.attempt.connection is None and len(loop.timers) == 1
         pool.reuse_delay_s = 0.0
-        clock.fire()
-        assert shot.attempt.connection is not None
-        assert (await shot.end()).outcome is Outcome.OK and len(stub.writers) == 1
+        loop.fire_timer()
+        assert recorded.attempt.connection is not None
+        assert (await recorded.result()).outcome is Outcome.OK and len(stub.writers) == 1
 
     run(main())
 
 
-def test_a_connection_that_ends_while_it_is_waited_for_gives_way_at_its_timer() -> None:
+def test_connection_closed_during_the_delay_is_replaced_by_a_new_one() -> None:
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
-        pool = make_pool(stub.address)
-        await all_rest(pool)
-        clock = SlowClock(pool)
-        shot = Shot(pool)
+        pool = create_pool(stub.address)
+        await open_delayed_connections(pool)
+        loop = ManualLoop(pool)
+        recorded = RecordedAttempt(pool)
         stub.writers[0].close()
         await wait_until(lambda: pool.connection_count == 0)
-        clock.fire()
-        assert (await shot.end()).outcome is Outcome.OK and len(stub.writers) == 2
+        loop.fire_timer()
+        assert (await recorded.result()).outcome is Outcome.OK and len(stub.writers) == 2
 
     run(main())
 
 
-def test_instead_of_a_long_wait_a_new_connection_is_opened() -> None:
+def test_extra_connection_is_opened_instead_of_a_long_wait() -> None:
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
-        pool = make_pool(stub.address)
-        await all_rest(pool)
+        pool = create_pool(stub.address)
+        await open_delayed_connections(pool)
         pool.attempts_since_extra_connection = (
             upstream.ATTEMPTS_PER_EXTRA_CONNECTION - 1
-        )  # the attempt itself earns the last one
-        assert (await Shot(pool).end()).outcome is Outcome.OK
+        )  # the attempt itself is the last
+        assert (await RecordedAttempt(pool).result()).outcome is Outcome.OK
         assert len(stub.writers) == 2
 
     run(main())
 
 
-def test_a_short_wait_is_waited(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream, "MAX_REUSE_WAIT_S", 2 * LONG_REST)
+def test_no_extra_connection_is_opened_for_a_short_wait(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(upstream, "MAX_REUSE_WAIT_S", 2 * LONG_DELAY_S)
 
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
-        pool = make_pool(stub.address)
-        await all_rest(pool)
+        pool = create_pool(stub.address)
+        await open_delayed_connections(pool)
         pool.attempts_since_extra_connection = upstream.ATTEMPTS_PER_EXTRA_CONNECTION
-        waiting = Shot(pool)
+        waiting = RecordedAttempt(pool)
         assert not pool.connect_tasks and waiting.attempt.connection is None and pool.connection_count == 1
 
     run(main())
 
 
-def test_connections_opened_instead_of_a_wait_are_a_bounded_part_of_the_attempts() -> None:
-    """Even where each attempt meets a long rest."""
+def test_extra_connections_are_limited_to_a_share_of_the_attempts() -> None:
+    """Every attempt would have to wait for long; one in ATTEMPTS_PER_EXTRA_CONNECTION need not."""
 
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
-        attempts = 4 * upstream.ATTEMPTS_PER_EXTRA_CONNECTION
-        pool = make_pool(stub.address, limit=10 * attempts)
-        await all_rest(pool, attempts)
+        count = 4 * upstream.ATTEMPTS_PER_EXTRA_CONNECTION
+        pool = create_pool(stub.address, limit=10 * count)
+        await open_delayed_connections(pool, count)
         before = len(stub.writers)
-        shots = [Shot(pool) for _ in range(attempts)]
-        assert len(pool.connect_tasks) == attempts // upstream.ATTEMPTS_PER_EXTRA_CONNECTION
+        attempts = [RecordedAttempt(pool) for _ in range(count)]
+        assert len(pool.connect_tasks) == count // upstream.ATTEMPTS_PER_EXTRA_CONNECTION
         await wait_until(
-            lambda: sum(len(shot.ends) for shot in shots)
-            == attempts // upstream.ATTEMPTS_PER_EXTRA_CONNECTION
+            lambda: sum(len(recorded.results) for recorded in attempts)
+            == count // upstream.ATTEMPTS_PER_EXTRA_CONNECTION
         )
-        assert len(stub.writers) == before + attempts // upstream.ATTEMPTS_PER_EXTRA_CONNECTION
+        assert len(stub.writers) == before + count // upstream.ATTEMPTS_PER_EXTRA_CONNECTION
 
     run(main())
 
 
-def test_at_the_limit_a_long_wait_is_waited() -> None:
-    """No other connection goes for it."""
+def test_no_extra_connection_is_opened_at_the_connection_limit() -> None:
+    """No other connection is closed to make room for it."""
 
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
-        pool = make_pool(stub.address, limit=1)
-        await all_rest(pool)
+        pool = create_pool(stub.address, limit=1)
+        await open_delayed_connections(pool)
         pool.attempts_since_extra_connection = upstream.ATTEMPTS_PER_EXTRA_CONNECTION
-        Shot(pool)
+        RecordedAttempt(pool)
         assert not pool.connect_tasks and pool.connection_count == 1
 
     run(main())
 
 
-def test_a_second_answer_on_a_resting_connection_reaches_no_attempt_on_the_new_one() -> None:
+def test_second_response_on_the_old_connection_does_not_reach_the_attempt_on_the_extra_one() -> None:
     async def main() -> None:
         stub = await StubServer(responds_with(http_response(b"one"))).start()
-        pool = make_pool(stub.address)
-        await all_rest(pool)
+        pool = create_pool(stub.address)
+        await open_delayed_connections(pool)
         pool.attempts_since_extra_connection = upstream.ATTEMPTS_PER_EXTRA_CONNECTION
-        asked = asyncio.Event()
+        request_received = asyncio.Event()
 
-        async def hold(_: StubServer, __: Message, ___: asyncio.StreamWriter) -> None:
-            asked.set()
+        async def record_request(_: StubServer, __: Message, ___: asyncio.StreamWriter) -> None:
+            request_received.set()
 
-        stub.handler = hold
-        shot = Shot(pool)
-        await asked.wait()
+        stub.handler = record_request
+        recorded = RecordedAttempt(pool)
+        await request_received.wait()
         stub.writers[0].write(http_response(b"one again"))
-        await wait_until(
-            lambda: stub.closed_connections == 1
-        )  # taken for no answer: its connection is closed
-        assert not shot.ends
+        await wait_until(lambda: stub.closed_connections == 1)  # unexpected data: the connection is closed
+        assert not recorded.results
         stub.writers[1].write(http_response(b"two"))
-        end = await shot.end()
-        assert end.response is not None and end.response.body == b"two"
+        result = await recorded.result()
+        assert result.response is not None and result.response.body == b"two"
 
     run(main())
 
 
-def test_a_connection_opened_instead_of_a_wait_rests_in_its_turn() -> None:
+def test_extra_connection_has_a_reuse_delay_too() -> None:
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
-        pool = make_pool(stub.address)
-        await all_rest(pool)
+        pool = create_pool(stub.address)
+        await open_delayed_connections(pool)
         pool.attempts_since_extra_connection = upstream.ATTEMPTS_PER_EXTRA_CONNECTION
-        await Shot(pool).end()
-        waiting = Shot(pool)
+        await RecordedAttempt(pool).result()
+        waiting = RecordedAttempt(pool)
         assert waiting.attempt.connection is None and not pool.connect_tasks
         stub.writers[1].write(http_response(b"again"))
         await wait_until(lambda: stub.closed_connections == 1)
-        assert not waiting.ends and len(stub.requests) == 2
+        assert not waiting.results and len(stub.requests) == 2
 
     run(main())
 
 
-def test_a_drain_that_comes_during_the_wait_ends_the_attempt_unsent() -> None:
+def test_drain_during_the_delay_ends_the_attempt_unsent() -> None:
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
-        pool = make_pool(stub.address)
-        await all_rest(pool)
-        clock = SlowClock(pool)
-        shot = Shot(pool)
+        pool = create_pool(stub.address)
+        await open_delayed_connections(pool)
+        loop = ManualLoop(pool)
+        recorded = RecordedAttempt(pool)
         pool.upstreams[1].accepts_requests = False
         pool.reuse_delay_s = 0.0
-        clock.fire()
-        assert (await shot.end()).outcome is Outcome.NOT_SENT
+        loop.fire_timer()
+        assert (await recorded.result()).outcome is Outcome.NOT_SENT
         await wait_until(lambda: stub.closed_connections == 1)
         assert len(stub.requests) == 1
 
