--- a/tests/node/test_upstream.py
+++ b/tests/node/test_upstream.py
@@ -61,7 +61,7 @@
     address: tuple[str, int], limit: int = 10, connect_timeout: float = 5.0, keepalive: float = 60.0
 ) -> Pool:
     pool = Pool(asyncio.get_running_loop(), limit, connect_timeout, keepalive)
-    pool.reuse_delay_s = 0.0  # the delay has tests of its own
+    pool.reuse_delay_s = 0.0  # test_reuse_delay.py tests the delay
     list_server(pool, 1, address, 0, True)
     return pool
 
