--- a/tests/node/stubs.py
+++ b/tests/node/stubs.py
@@ -1,4 +1,4 @@
-"""Servers of the tests' own on loopback, port 0: an upstream, a discovery, and the balancer between them."""
+"""Stub servers on free loopback ports, and a balancer that runs between them in the test process."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from dykeshift.node.server import Frontend
 from dykeshift.node.upstream import Pool
 
-TEST_TIMEOUT_S = 30.0  # seconds: only a test that has failed waits for so long
+TEST_TIMEOUT_S = 30.0  # only failing tests run for this long
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
@@ -28,10 +28,10 @@
 
 
 def free_port() -> int:
-    """A port of loopback that was free a moment ago."""
-    with socket.socket() as one:
-        one.bind(("127.0.0.1", 0))
-        return int(one.getsockname()[1])
+    """A loopback port that was free at the time of the call."""
+    with socket.socket() as bound:
+        bound.bind(("127.0.0.1", 0))
+        return int(bound.getsockname()[1])
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
@@ -62,7 +62,7 @@
 
 
 def responds_with(data: bytes, close: bool = False) -> Handler:
-    """Answers each request with these bytes."""
+    """A handler that sends these bytes in response to each request."""
 
     async def handle(_: StubServer, __: Message, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
@@ -73,7 +73,7 @@
 
 
 async def never_responds(_: StubServer, __: Message, ___: asyncio.StreamWriter) -> None:
-    """Takes a request and answers nothing."""
+    """A handler that reads each request and sends no response."""
 
 
 async def resets_connection(_: StubServer, __: Message, writer: asyncio.StreamWriter) -> None:
@@ -82,7 +82,7 @@
 
 @dataclass
 class StubServer:
-    """An upstream that does as its handler says, and remembers what it saw."""
+    """An upstream server that runs its handler for each request and records the requests."""
 
     handler: Handler
     requests: list[Message] = field(default_factory=list)
@@ -121,13 +121,16 @@
     }
 
 
-def listing(generation: int, whole: bool, *instances: dict[str, Any]) -> dict[str, Any]:
-    return {"generation": generation, "reset": whole, "instances": list(instances)}
+def listing(generation: int, is_full: bool, *instances: dict[str, Any]) -> dict[str, Any]:
+    return {"generation": generation, "reset": is_full, "instances": list(instances)}
 
 
 @dataclass
 class StubLongPollServer:
-    """Discovery: hands out what is put into `replies`, one a call, and holds calls while there is none."""
+    """Stub of a discovery server or a settings agent that is called by long polls.
+
+    Each call gets the next entry of `responses`, and is held while there is none.
+    """
 
     responses: asyncio.Queue[bytes] = field(default_factory=asyncio.Queue)
     paths: list[str] = field(default_factory=list)
@@ -198,11 +201,11 @@
     }
 
 
-def configuration(registry: tuple[str, int], known: Any = None) -> dict[str, Any]:
+def configuration(discovery: tuple[str, int], known: Any = None) -> dict[str, Any]:
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
-        "discovery": f"{registry[0]}:{registry[1]}",
+        "discovery": f"{discovery[0]}:{discovery[1]}",
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": known,
@@ -219,8 +222,8 @@
     configuration: config.Config
     reload: ConfigReload
 
-    def move_discovery(self, discovery: StubLongPollServer) -> None:
-        """What SIGHUP does when the file names another discovery."""
+    def switch_discovery(self, discovery: StubLongPollServer) -> None:
+        """Reload the configuration with another discovery address, as after SIGHUP."""
         self.configuration = replace(self.configuration, discovery=discovery.address)
         self.reload()
 
@@ -228,16 +231,16 @@
         return StubClient(*await asyncio.open_connection(*self.address))
 
     async def fetch(self, request: bytes) -> Message:
-        caller = await self.connect()
+        client = await self.connect()
         try:
-            return await caller.fetch(request)
+            return await client.fetch(request)
         finally:
-            caller.writer.close()
+            client.writer.close()
 
 
 @dataclass
 class StubClient:
-    """A client's connection."""
+    """A client with one connection to the balancer."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -248,7 +251,7 @@
 
 
 def http_request(
-    klass: str = "send",
+    class_name: str = "send",
     request_id: str = "r1",
     deadline_ms: int | str = 4000,
     body: bytes = b"hello",
@@ -258,12 +261,12 @@
     fields = {
         "Host": "backend.local",
         "X-Request-Id": request_id,
-        "X-Class": klass,
+        "X-Class": class_name,
         "X-Deadline-Ms": str(deadline_ms),
     }
-    if klass == "set":
+    if class_name == "set":
         fields["Idempotency-Key"] = f"k-{request_id}"
-    method = method or ("GET" if klass == "check" else "POST")
+    method = method or ("GET" if class_name == "check" else "POST")
     if method == "POST":
         fields["Content-Length"] = str(len(body))
     fields.update({k.replace("_", "-"): v for k, v in headers.items()})
@@ -272,16 +275,16 @@
 
 
 class ConnectGate:
-    """The loop as a pool sees it, with connects that wait until the gate is opened."""
+    """Wraps the event loop of a pool so that its connects wait until `opened` is set."""
 
     def __init__(self, pool: Pool) -> None:
         self.loop = pool.loop
-        self.waiting = 0
+        self.connect_count = 0
         self.opened = asyncio.Event()
         pool.loop = self  # type: ignore[assignment]
 
     async def create_connection(self, *args: Any) -> Any:
-        self.waiting += 1
+        self.connect_count += 1
         await self.opened.wait()
         return await self.loop.create_connection(*args)
 
@@ -290,40 +293,40 @@
 
 
 def settings_with_bounds(**bounds: Any) -> dict[str, Any]:
-    """Settings that allow something else."""
-    changed = settings()
-    changed["bounds"].update(bounds)
-    return changed
+    """The usual settings with other bounds."""
+    result = settings()
+    result["bounds"].update(bounds)
+    return result
 
 
 @asynccontextmanager
 async def running_balancer(
     *upstreams: StubServer, discovery_answers: bool = True, **changes: Any
 ) -> AsyncIterator[RunningBalancer]:
-    """The whole balancer in this process, knowing these upstreams by the names s0, s1, ...
+    """A whole balancer in this process whose known list has these upstreams, named s0, s1, ...
 
-    `discovery_answers`: discovery has answered its first call with the same list, and
-    the watch goes on from there.
+    With `discovery_answers` and any upstreams, discovery has responded to the first call with the same list,
+    and the balancer has sent its second call.
     """
-    registry = await StubLongPollServer().start()
-    known = listing(1, True, *(instance(f"s{n}", u.address) for n, u in enumerate(upstreams)))
+    discovery = await StubLongPollServer().start()
+    known = listing(1, True, *(instance(f"s{n}", upstream.address) for n, upstream in enumerate(upstreams)))
     discovery_answers = discovery_answers and bool(upstreams)
     if discovery_answers:
-        registry.queue_json(known)
-    given = config.parse(json.dumps({**configuration(registry.address, known), **changes}))
+        discovery.queue_json(known)
+    initial = config.parse(json.dumps({**configuration(discovery.address, known), **changes}))
     ready: asyncio.Future[RunningBalancer] = asyncio.get_running_loop().create_future()
 
     def started(front: Frontend, listener: Listener, reload: ConfigReload) -> None:
-        ready.set_result(RunningBalancer(front, listener, registry, listener.address, given, reload))
+        ready.set_result(RunningBalancer(front, listener, discovery, listener.address, initial, reload))
 
-    task = asyncio.create_task(serve(given, lambda: ready.result().configuration, started))
+    serving = asyncio.create_task(serve(initial, lambda: ready.result().configuration, started))
     try:
         balancer = await ready
         if discovery_answers:
-            await wait_until(lambda: len(registry.paths) == 2)
-            assert registry.paths.pop(0).startswith("/v1/endpoints")
+            await wait_until(lambda: len(discovery.paths) == 2)
+            assert discovery.paths.pop(0).startswith("/v1/endpoints")
         yield balancer
     finally:
-        task.cancel()
+        serving.cancel()
         with suppress(asyncio.CancelledError):
-            await task
+            await serving
--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -478,7 +478,7 @@
         async with running_balancer(stub, settings=settings(discovery=way)) as balancer:
             await wait_until(lambda: len(balancer.discovery.paths) == 1)
             heard = listen(balancer)
-            balancer.move_discovery(other)
+            balancer.switch_discovery(other)
             await wait_until(lambda: len(other.paths) == 1)
             other.queue_json(listing(1, True, instance("s0", stub.address)))
             await wait_until(lambda: len(other.paths) == 2)
@@ -498,7 +498,7 @@
             heard = listen(balancer)
             balancer.discovery.responses.put_nowait(http_response(b"", "503 Service Unavailable"))
             await wait_until(lambda: bool(heard))
-            balancer.move_discovery(other)
+            balancer.switch_discovery(other)
             await wait_until(lambda: other.paths == ["/v1/endpoints"])
             assert balancer.frontend.driver.decision_module.watch_failures == 0
 
--- a/tests/node/test_listing.py
+++ b/tests/node/test_listing.py
@@ -276,7 +276,7 @@
             told = told_to_the_module(balancer)
             reader = count_rows(balancer)
             other.queue_json(listing(1, True, instance("s0", stub.address), instance("s1", stub.address)))
-            reader.at[row] = lambda: asyncio.get_running_loop().call_soon(balancer.move_discovery, other)
+            reader.at[row] = lambda: asyncio.get_running_loop().call_soon(balancer.switch_discovery, other)
             # One row beyond a whole number of stretches: the last turn is not yet the end.
             balancer.discovery.queue_json(large(10 * ROWS_PER_TURN + 1, state="leaving"))
             await wait_until(lambda: len(other.paths) == 2)
--- a/tests/node/test_server.py
+++ b/tests/node/test_server.py
@@ -302,7 +302,7 @@
             gate = ConnectGate(served.pool)
             caller = await balancer.connect()
             caller.writer.write(http_request(klass))
-            await wait_until(lambda: gate.waiting == 1)
+            await wait_until(lambda: gate.connect_count == 1)
             caller.writer.close()
             await wait_until(lambda: not balancer.frontend.connections)
             gate.opened.set()
@@ -336,7 +336,7 @@
             sent = time.monotonic()
             gate.opened.clear()
             failing.set()
-            await wait_until(lambda: gate.waiting == 2)
+            await wait_until(lambda: gate.connect_count == 2)
             await wait_until(lambda: time.monotonic() > sent + window)
             gate.opened.set()
             assert status(await read_message(caller.reader)) == 500
@@ -587,7 +587,7 @@
 @pytest.mark.parametrize(
     "bad",
     [
-        http_request(klass="novel"),
+        http_request(class_name="novel"),
         http_request(X_Class=""),
         http_request(deadline_ms="soon"),
         http_request(deadline_ms="-5"),
--- a/tests/node/test_standing_terms.py
+++ b/tests/node/test_standing_terms.py
@@ -198,10 +198,10 @@
             seen, pool = Departures.of(balancer), balancer.frontend.driver.pool
             gate = ConnectGate(pool)
             visitor = Visitor(balancer, http_request(klass, request_id="left"))
-            await wait_until(lambda: gate.waiting == 1)
+            await wait_until(lambda: gate.connect_count == 1)
             gate.opened.set()
             gate.opened.clear()  # lets the first one by
-            await wait_until(lambda: gate.waiting == 2)
+            await wait_until(lambda: gate.connect_count == 2)
             assert received(*stubs) == ["left"]
             visitor.leave(reset)
             await wait_until(lambda: seen.gone == ["left"])
@@ -233,10 +233,10 @@
             await wait_until(lambda: pool.connection_count == 0)
             gate = ConnectGate(pool)
             visitor = Visitor(balancer, http_request(klass, request_id="left", deadline_ms=2000))
-            await wait_until(lambda: gate.waiting == 1)
+            await wait_until(lambda: gate.connect_count == 1)
             gate.opened.set()
             gate.opened.clear()
-            await wait_until(lambda: gate.waiting == 2)  # its answer does not come, so a copy is begun
+            await wait_until(lambda: gate.connect_count == 2)  # its answer does not come, so a copy is begun
             assert received(*stubs) == ["left"]
             visitor.leave(reset)
             await wait_until(lambda: seen.gone == ["left"])
