--- a/dykeshift/node/address.py
+++ b/dykeshift/node/address.py
@@ -8,7 +8,8 @@
 
 
 def parse_address(text: Any) -> Address:
+    """Raises ValueError if the text is not host:port."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdecimal() or not 0 <= int(port) < 65536:
-        raise ValueError(f"{text!r} is no address of the form host:port")
+        raise ValueError(f"{text!r} is not an address of the form host:port")
     return host, int(port)
--- a/dykeshift/node/config.py
+++ b/dykeshift/node/config.py
@@ -1,4 +1,4 @@
-"""What this balancer is told at its start: the file that NODE_CONFIG names, checked and typed."""
+"""Reads and checks the configuration of this balancer: the file that NODE_CONFIG names."""
 
 from __future__ import annotations
 
@@ -17,80 +17,83 @@
 
 log = logging.getLogger(__name__)
 
-CONNECTION_DESCRIPTOR_SHARE = (
-    0.4  # of the descriptors, for the connections to clients and again for those to upstreams
-)
-BASE_MEMORY_MB = 16.0  # MB that the program needs with no connection open, measured, with some room
-CONNECTION_MEMORY_MB = (
-    0.128  # MB that one connection holds at the most: a whole body, and again while it is passed on
-)
+CONNECTION_DESCRIPTOR_SHARE = 0.4  # of the descriptors, for client connections, and as many for upstreams
+BASE_MEMORY_MB = 16.0  # measured for the program without open connections, plus some reserve
+MAX_CONNECTION_MEMORY_MB = 0.128  # a connection buffers a whole body, and once more while forwarding it
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; its text is one plain line for people."""
+    """The configuration cannot be used; the text is one line for people."""
 
 
 class TransientReadError(ConfigError):
-    """The file could not be read, for a reason that may pass within a moment."""
+    """The file could not be read because of a transient error."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    raw: dict[str, Any]  # as it was read, but for tenants and known servers
+    raw: dict[str, Any]  # the decoded JSON without tenants and known servers
     listen: Address
     discovery: Address
     seed: int
-    max_connections: int  # most that may be open to clients, and as many to upstreams
+    max_connections: int  # to clients, and as many to upstreams
     known_list: (
         ServerListing[ServerRow] | None
-    )  # the list as this balancer last had it; None: none that is sound
+    )  # last list before the start; None if it is missing or invalid
     settings: Settings
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
     tenants: TenantTable
-    keepalive_s: float  # seconds after which an upstream closes an idle connection
-    connect_timeout_s: float  # seconds
-    drain_grace_s: float  # seconds after a drain is told in which sends to that server have to stop
-    settings_version: int  # of the settings; 0 where the deployment counts none
-    control: Address | None  # the agent that tells of new settings in service, where there is one
+    keepalive_s: float  # idle time after which an upstream closes a connection
+    connect_timeout_s: float
+    drain_grace_s: float  # time from the notice of a drain until requests to that server have to stop
+    settings_version: int  # 0 if the deployment does not number its settings
+    control: Address | None  # the settings agent, if settings may change while the balancer serves
 
 
 @dataclass(frozen=True, slots=True)
 class TenantList:
-    """In the settings' order. As the objects of their JSON they would take several times the memory."""
+    """Names and quotas in the order of the settings.
+
+    The tenants' JSON objects would take several times the memory.
+    """
 
     names: list[bytes] = field(default_factory=list)
-    shares: list[float] = field(default_factory=list)
-    held: dict[float, float] = field(default_factory=dict)  # one object for all shares of one size
+    quotas_per_s: list[float] = field(default_factory=list)
+    interned_quotas: dict[float, float] = field(default_factory=dict)  # one object for all equal quotas
 
     def add(self, members: list[tuple[str, Any]]) -> dict[str, Any] | None:
-        """Called by the JSON decoder for each object; what is no tenant remains an object."""
+        """Add the tenant with these members; an object that is not a tenant is returned as a dict.
+
+        The JSON decoder calls it for each object.
+        """
         fields = dict(members)
         if "name" not in fields or "quotaPerS" not in fields:
             return fields
-        share = float(fields["quotaPerS"])
+        quota = float(fields["quotaPerS"])
         self.names.append(str(fields["name"]).encode())
-        self.shares.append(self.held.setdefault(share, share))
+        self.quotas_per_s.append(self.interned_quotas.setdefault(quota, quota))
         return None
 
 
 def load(path: str, with_known_list: bool = True) -> Config:
+    """Read the configuration file. Raises ConfigError, for a transient error TransientReadError."""
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
     except OSError as exc:
-        kind = TransientReadError if is_transient(exc) else ConfigError
-        raise kind(f"cannot read the configuration {path!r}: {exc}") from None
+        error_class = TransientReadError if is_transient(exc) else ConfigError
+        raise error_class(f"cannot read the configuration {path!r}: {exc}") from None
     except ValueError as exc:
         raise ConfigError(f"cannot read the configuration {path!r}: {exc}") from None
     try:
         return parse(text, with_known_list)
     except (MalformedInputError, ValueError, TypeError, AttributeError, RecursionError) as exc:
-        raise ConfigError(f"bad configuration {path!r}: {exc}") from None
+        raise ConfigError(f"invalid configuration {path!r}: {exc}") from None
 
 
 def parse(text: str, with_known_list: bool = True) -> Config:
-    """The configuration from its JSON, whose longest parts are never held as objects all at once."""
+    """Parse the configuration from JSON text. Its long lists are never in memory as objects all at once."""
     cursor = JsonCursor(text)
     raw: dict[str, Any] = {}
     tenants, known_list = TenantList(), None
@@ -108,7 +111,7 @@
 
 
 def read_settings_members(cursor: JsonCursor) -> tuple[dict[str, Any], TenantList]:
-    """The settings that begin here, and apart from them their tenants."""
+    """Read the settings that begin here; the tenants are returned separately."""
     raw: dict[str, Any] = {}
     tenants = TenantList()
     for key in cursor.read_keys():
@@ -121,30 +124,30 @@
 
 def read_tenants(cursor: JsonCursor) -> TenantList:
     if not cursor.is_at("["):
-        raise SettingsError("settings.parties is no list")
+        raise SettingsError("settings.parties is not a list")
     tenants = TenantList()
     parties = cursor.read_value(json.JSONDecoder(object_pairs_hook=tenants.add).raw_decode)
-    if len(parties) != len(tenants.shares) or any(party is not None for party in parties):
-        raise SettingsError("settings lack settings.parties[].name or quotaPerS")
+    if len(parties) != len(tenants.quotas_per_s) or any(party is not None for party in parties):
+        raise SettingsError("required key settings.parties[].name or quotaPerS is missing")
     return tenants
 
 
 def read_known_list(cursor: JsonCursor) -> ServerListing[ServerRow] | None:
-    """The list that begins here; one that is unsound is dropped, the rest of the configuration holds."""
-    unknown = cursor.is_at("null")
+    """Read the server list that begins here; None if it is null or invalid, which is not an error."""
+    is_null = cursor.is_at("null")
     start = cursor.position
     try:
         return parse_listing(cursor)
     except ValueError as exc:
-        if not unknown:
-            log.warning("the known list is dropped: %s", exc)
+        if not is_null:
+            log.warning("ignoring the invalid known server list: %s", exc)
     cursor.position = start
     cursor.read_value()
     return None
 
 
 def skip_known_list(cursor: JsonCursor) -> None:
-    """Pass over the list that begins here, row by row, as its objects at once would take much memory."""
+    """Skip the server list that begins here row by row; all its objects at once would take much memory."""
     if not cursor.is_at("{"):
         cursor.read_value()
         return
@@ -157,28 +160,30 @@
 
 
 def max_connections(limits: dict[str, Any]) -> int:
-    """Of either kind, so that neither descriptors nor memory run out when all of them are full.
+    """Return the limit for client connections, which is also the one for upstream connections.
 
-    What is left of the descriptors is for accepting, discovery and sockets that are being closed.
+    Neither descriptors nor memory may run out when all connections buffer as much as they can. The remaining
+    descriptors are for accepting, discovery and sockets that are being closed.
     """
-    sockets, memory = int(limits.get("sockets", 1024)), float(limits.get("memory_mb", 192))
+    sockets, memory_mb = int(limits.get("sockets", 1024)), float(limits.get("memory_mb", 192))
     return max(
         4,
         min(
             int(sockets * CONNECTION_DESCRIPTOR_SHARE),
-            int((memory - BASE_MEMORY_MB) / 2 / CONNECTION_MEMORY_MB),
+            int((memory_mb - BASE_MEMORY_MB) / 2 / MAX_CONNECTION_MEMORY_MB),
         ),
     )
 
 
 def build(raw: Any, tenants: TenantList, known_list: ServerListing[ServerRow] | None) -> Config:
-    given = require(raw, "settings", "")
-    limits = require(given, "bounds", "settings.")
-    rules = require(given, "obligations", "settings.")
+    settings = require(raw, "settings", "")
+    bounds = require(settings, "bounds", "settings.")
+    obligations = require(settings, "obligations", "settings.")
     seed = str(require(raw, "seed", ""))
     control = parse_address(raw["control"]) if "control" in raw else None
-    # By name only where they may change: the table that requests are read with takes far less memory.
-    numbers = {} if control is None else {name: number for number, name in enumerate(tenants.names)}
+    # The decision module needs the tenants' names only if the settings may change. Requests are read with
+    # the tenant table, which takes far less memory.
+    tenant_indexes = {} if control is None else {name: index for index, name in enumerate(tenants.names)}
     return Config(
         raw=raw,
         listen=parse_address(require(raw, "listen", "")),
@@ -186,21 +191,23 @@
         seed=int.from_bytes(seed.encode(), "big"),
         max_connections=max_connections(raw.get("limits", {})),
         known_list=known_list,
-        settings=replace(parse_settings(given, tuple(tenants.shares)), tenant_indexes=numbers),
-        zones=tuple(map(str, given.get("failureDomains", ()))),
-        kinds=tuple(map(str, given.get("kinds", ()))),
+        settings=replace(
+            parse_settings(settings, tuple(tenants.quotas_per_s)), tenant_indexes=tenant_indexes
+        ),
+        zones=tuple(map(str, settings.get("failureDomains", ()))),
+        kinds=tuple(map(str, settings.get("kinds", ()))),
         tenants=TenantTable.from_names(tenants.names),
-        keepalive_s=float(require(limits, "keepaliveNs", "bounds.")) / 1e9,
-        connect_timeout_s=float(require(limits, "connectTimeoutNs", "bounds.")) / 1e9,
-        drain_grace_s=float(require(rules, "drainGraceNs", "obligations.")) / 1e9,
+        keepalive_s=float(require(bounds, "keepaliveNs", "bounds.")) / 1e9,
+        connect_timeout_s=float(require(bounds, "connectTimeoutNs", "bounds.")) / 1e9,
+        drain_grace_s=float(require(obligations, "drainGraceNs", "obligations.")) / 1e9,
         settings_version=int(raw.get("settings_version", 0)),
         control=control,
     )
 
 
-def with_settings(base: Config, given: Any) -> Config:
-    """The same configuration with other settings."""
+def with_settings(base: Config, settings: Any) -> Config:
+    """Return the same configuration with other settings and without a known list."""
     tenants = TenantList()
-    for party in given.get("parties", ()):
+    for party in settings.get("parties", ()):
         tenants.add(list(party.items()))
-    return build({**base.raw, "settings": given}, tenants, None)
+    return build({**base.raw, "settings": settings}, tenants, None)
--- a/dykeshift/node/json_cursor.py
+++ b/dykeshift/node/json_cursor.py
@@ -1,4 +1,4 @@
-"""JSON text read piece by piece, so that a large document is never held as objects all at once."""
+"""Reads JSON text piece by piece, so that a large document is never in memory as objects all at once."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-Decode = Callable[[str, int], tuple[Any, int]]
+DecodeFunction = Callable[[str, int], tuple[Any, int]]
 
-_SPACE = re.compile(r"[ \t\n\r]*")
-_SEPARATOR = re.compile(r"[ \t\n\r]*([,\]])[ \t\n\r]*")  # behind an element of an array
-_decode = json.JSONDecoder().raw_decode
+_WHITESPACE = re.compile(r"[ \t\n\r]*")
+_SEPARATOR = re.compile(r"[ \t\n\r]*([,\]])[ \t\n\r]*")  # after an array element
+_decode_value = json.JSONDecoder().raw_decode
 
 
 class JsonCursor:
-    """A position in JSON text. Raises ValueError where the text is not sound JSON."""
+    """A position in JSON text. All methods raise ValueError where the text is not valid JSON."""
 
     __slots__ = ("text", "position")
 
@@ -23,19 +23,19 @@
         self.text = text
         self.position = 0
 
-    def read_value(self, decode: Decode = _decode) -> Any:
-        """The whole value that begins here."""
-        self._skip_space()
+    def read_value(self, decode: DecodeFunction = _decode_value) -> Any:
+        """Read the value that begins here as a whole."""
+        self._skip_whitespace()
         value, self.position = decode(self.text, self.position)
         return value
 
-    def is_at(self, char: str) -> bool:
-        """Whether the next value begins with this character."""
-        self._skip_space()
-        return self.text.startswith(char, self.position)
+    def is_at(self, prefix: str) -> bool:
+        """Skip whitespace and return whether the text continues with this prefix."""
+        self._skip_whitespace()
+        return self.text.startswith(prefix, self.position)
 
     def read_keys(self) -> Iterator[str]:
-        """The keys of the object that begins here; the caller reads the value of each."""
+        """Yield the keys of the object that begins here. The caller reads each value before the next key."""
         self._expect("{")
         if self._take("}"):
             return
@@ -50,13 +50,13 @@
             self._expect(",")
 
     def read_elements(self) -> Iterator[Any]:
-        """The values of the array that begins here."""
+        """Yield the values of the array that begins here."""
         self._expect("[")
         if self._take("]"):
             return
         text, position = self.text, self.position
         while True:
-            value, position = _decode(text, position)
+            value, position = _decode_value(text, position)
             separator = _SEPARATOR.match(text, position)
             if separator is None:
                 raise ValueError(f"expected ',' or ']' at character {position}")
@@ -66,13 +66,13 @@
                 return
 
     def expect_end(self) -> None:
-        """Check that nothing more follows."""
-        self._skip_space()
+        """Check that only whitespace follows."""
+        self._skip_whitespace()
         if self.position != len(self.text):
             raise ValueError(f"unexpected text at character {self.position}")
 
-    def _skip_space(self) -> None:
-        match = _SPACE.match(self.text, self.position)
+    def _skip_whitespace(self) -> None:
+        match = _WHITESPACE.match(self.text, self.position)
         assert match is not None
         self.position = match.end()
 
--- a/dykeshift/node/requests.py
+++ b/dykeshift/node/requests.py
@@ -98,7 +98,7 @@
             client_timeout_ns=min(client_timeout_ns, request_class.client_timeout),
             latency_target_ns=request_class.latency_target,
             is_retry=headers.get(b"x-retry") == b"1",
-            tenant_index=self.tenants.number_of(headers.get(b"x-tenant", b"")),
+            tenant_index=self.tenants.index_of(headers.get(b"x-tenant", b"")),
             cost_hint=_read_number(headers, b"x-cost-hint") * 1000 if b"x-cost-hint" in headers else 0,
             head=head + b"X-Deadline-Ms: ",
             body=bytes(body),
--- a/dykeshift/node/tenants.py
+++ b/dykeshift/node/tenants.py
@@ -1,4 +1,4 @@
-"""The tenants of the settings: their numbers by name, in a fraction of the memory of a dict of objects."""
+"""Maps the names of the settings' tenants to their indexes in a fraction of the memory of a dict."""
 
 from __future__ import annotations
 
@@ -9,38 +9,39 @@
 from itertools import accumulate
 
 
-def _empty_numbers() -> array[int]:
+def _empty_array() -> array[int]:
     return array("I")
 
 
 @dataclass(frozen=True, slots=True)
 class TenantTable:
-    """Sorted names in one block of bytes, found by binary search.
+    """The sorted names in one block of bytes, searched by bisection.
 
-    Of a name that comes twice the last holds.
+    If a name occurs twice, its last occurrence counts.
     """
 
     names: bytes = b""
-    name_ends: array[int] = field(default_factory=_empty_numbers)  # of each name in the block, ascending
-    numbers: array[int] = field(default_factory=_empty_numbers)  # in the settings' order, by sorted name
+    # Where each name ends in the block, and its index in the settings, both in the order of the sorted names.
+    name_ends: array[int] = field(default_factory=_empty_array)
+    indexes: array[int] = field(default_factory=_empty_array)
 
     @classmethod
     def from_names(cls, names: Sequence[bytes]) -> TenantTable:
-        """The table of names that are given in the settings' order."""
-        numbers = array("I", sorted(range(len(names)), key=names.__getitem__))
-        name_ends = array("I", accumulate(len(names[number]) for number in numbers))
-        return cls(b"".join([names[number] for number in numbers]), name_ends, numbers)
+        """Build the table from names in the order of the settings."""
+        indexes = array("I", sorted(range(len(names)), key=names.__getitem__))
+        name_ends = array("I", accumulate(len(names[index]) for index in indexes))
+        return cls(b"".join([names[index] for index in indexes]), name_ends, indexes)
 
     def __len__(self) -> int:
-        return len(self.numbers)
+        return len(self.indexes)
 
-    def number_of(self, name: bytes) -> int:
-        """The tenant's number; that behind the last one for a name that the settings do not hold."""
-        place = bisect_right(range(len(self)), name, key=self._name_at) - 1
-        if place < 0 or self._name_at(place) != name:
+    def index_of(self, name: bytes) -> int:
+        """Return the tenant's index, or the number of tenants for a name that the settings do not contain."""
+        position = bisect_right(range(len(self)), name, key=self._name_at) - 1
+        if position < 0 or self._name_at(position) != name:
             return len(self)
-        return self.numbers[place]
+        return self.indexes[position]
 
-    def _name_at(self, place: int) -> bytes:
-        start = self.name_ends[place - 1] if place else 0
-        return self.names[start : self.name_ends[place]]
+    def _name_at(self, position: int) -> bytes:
+        start = self.name_ends[position - 1] if position else 0
+        return self.names[start : self.name_ends[position]]
--- a/tests/node/test_listing.py
+++ b/tests/node/test_listing.py
@@ -374,7 +374,7 @@
     objects, given = tracked_by(lambda: config.load(str(path)))
     assert objects <= count + 100
     assert len(given.known_list.servers) == count
-    assert [given.tenants.number_of(f"t{n}".encode()) for n in range(2 * count)] == list(range(2 * count))
+    assert [given.tenants.index_of(f"t{n}".encode()) for n in range(2 * count)] == list(range(2 * count))
     assert given.settings.tenant_quotas_per_s == tuple(n + 0.5 for n in range(2 * count))
 
 
