--- a/dykeshift/__init__.py
+++ b/dykeshift/__init__.py
@@ -1,1 +1,4 @@
-"""dykeshift: the decisions of a load-balancing proxy, free of input and output."""
+"""dykeshift, an HTTP load balancer.
+
+The decision logic performs no input or output; `dykeshift.node` runs it on sockets.
+"""
--- a/dykeshift/node/__init__.py
+++ b/dykeshift/node/__init__.py
@@ -1,1 +1,1 @@
-"""The real balancer: the decision module on sockets."""
+"""The balancer process: runs the decision module on sockets."""
--- a/dykeshift/node/listener.py
+++ b/dykeshift/node/listener.py
@@ -1,7 +1,8 @@
-"""The listening socket, and what is accepted on it.
+"""The listening socket and the connections accepted on it.
 
-The event loop's own server is not used: it passes over an address whose `socket` call fails, and on EMFILE
-and ENFILE it accepts and closes whoever waits, though their requests may have been sent by then.
+The event loop's own server is not used. It silently skips an address whose `socket` call fails. On EMFILE
+and ENFILE it accepts and closes the pending connections, although their clients may already have sent
+requests.
 """
 
 from __future__ import annotations
@@ -20,12 +21,12 @@
 
 log = logging.getLogger(__name__)
 
-BACKLOG = 1024  # connections that may wait to be accepted
-MAX_ACCEPTS_PER_WAKEUP = 64  # before the event loop looks at the other sockets again
-ACCEPT_BACKOFF_S = 0.02  # seconds without accepting after a shortage: those who wait stay in the backlog
-MIN_LOG_INTERVAL_S = 1.0  # seconds between two lines that tell of failed accepts
+BACKLOG = 1024
+MAX_ACCEPTS_PER_WAKEUP = 64  # then the event loop serves the other sockets
+ACCEPT_BACKOFF_S = 0.02  # pause after a resource shortage; pending connections stay in the backlog
+MIN_LOG_INTERVAL_S = 1.0  # between warnings about failed accepts
 
-# The accept that failed is over, be it with its connection; the next one is not affected.
+# Errors of a single accept or its connection, which do not affect the next accept.
 IMMEDIATE_RETRY_ERRORS = frozenset({errno.ECONNABORTED, errno.EINTR, errno.EPROTO})
 
 Result = TypeVar("Result")
@@ -33,7 +34,10 @@
 
 
 class Listener:
-    """Accepts connections from `serve` to `close`; a failed accept is counted and told, and ends nothing."""
+    """Accepts connections from `start_accepting` to `close`.
+
+    A failed accept is counted and logged, and does not end the service.
+    """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, bound: socket.socket, create_protocol: ProtocolFactory
@@ -41,36 +45,42 @@
         self.loop = loop
         self.socket = bound
         self.create_protocol = create_protocol
-        self.failed_accepts = 0  # accepts, since the start
-        self.logged_at = float("-inf")  # when the log last told of one
-        self.setup_tasks: set[asyncio.Task[None]] = set()  # accepted, and not told to their protocol yet
-        self.resume_timer: asyncio.TimerHandle | None = None  # accepting pauses until then
+        self.failed_accepts = 0  # since the start
+        self.logged_at = float("-inf")  # loop time of the last warning about a failed accept
+        self.setup_tasks: set[asyncio.Task[None]] = set()  # accepted sockets not yet given to a protocol
+        self.resume_timer: asyncio.TimerHandle | None = None  # set while accepting is paused
         self.closed = False
 
     @classmethod
     async def open(
         cls, loop: asyncio.AbstractEventLoop, address: Address, create_protocol: ProtocolFactory
     ) -> Listener:
-        """A bound listener that does not listen yet; OSError if that fails for longer than a moment."""
+        """Create a listener that is bound but does not listen yet.
+
+        Raises OSError if binding fails with an error that is not transient, or for START_RETRY_TIMEOUT_S.
+        """
         return cls(loop, await _retry(loop, partial(_bind, address)), create_protocol)
 
     @property
     def address(self) -> Address:
-        """Where it is bound."""
+        """The address the socket is bound to."""
         host, port = self.socket.getsockname()[:2]
         return host, port
 
     async def start_accepting(self) -> None:
-        """Begin to accept; OSError if the socket cannot listen for longer than a moment."""
+        """Listen and accept connections.
+
+        Raises OSError if listening fails with an error that is not transient, or for START_RETRY_TIMEOUT_S.
+        """
         await _retry(self.loop, partial(self.socket.listen, BACKLOG))
         self.loop.add_reader(self.socket, self._accept)
 
     def has_pending_connections(self) -> bool:
-        """Whether connections wait to be accepted."""
+        """Whether the backlog holds connections that have not been accepted."""
         return not self.closed and has_input(self.socket)
 
     async def close(self) -> None:
-        """Stop accepting; on return all that were accepted have been told to their protocols."""
+        """Stop accepting, and wait until every accepted socket has been given to its protocol."""
         if not self.closed:
             self.closed = True
             if self.resume_timer is not None:
@@ -95,7 +105,8 @@
                 self._start_setup(accepted)
 
     def _start_setup(self, accepted: socket.socket) -> None:
-        protocol = self.create_protocol()  # now, as it notes when it was accepted
+        # Created here and not in the task, because it records when the connection was accepted.
+        protocol = self.create_protocol()
         task = self.loop.create_task(self._attach_protocol(accepted, protocol))
         self.setup_tasks.add(task)
         task.add_done_callback(self.setup_tasks.discard)
@@ -109,7 +120,7 @@
             accepted.close()
 
     def _pause_accepting(self) -> None:
-        """Leave those who wait in the backlog for a moment, instead of asking for them again and again."""
+        """Leave pending connections in the backlog for ACCEPT_BACKOFF_S, to avoid a busy loop."""
         self.loop.remove_reader(self.socket)
         self.resume_timer = self.loop.call_later(ACCEPT_BACKOFF_S, self._resume_accepting)
 
@@ -122,7 +133,7 @@
         now = self.loop.time()
         if now - self.logged_at >= MIN_LOG_INTERVAL_S:
             self.logged_at = now
-            log.warning("accept failed: %s; %d since the start", error.strerror, self.failed_accepts)
+            log.warning("accept failed: %s; %d failures since the start", error.strerror, self.failed_accepts)
 
 
 def _bind(address: Address) -> socket.socket:
@@ -142,18 +153,18 @@
 
 
 async def _retry(loop: asyncio.AbstractEventLoop, call: Callable[[], Result]) -> Result:
-    """Call until it does, for START_PATIENCE at the most while its failures may pass."""
-    patience_ends = loop.time() + START_RETRY_TIMEOUT_S
+    """Call until it succeeds; retry transient errors for at most START_RETRY_TIMEOUT_S."""
+    retry_until = loop.time() + START_RETRY_TIMEOUT_S
     failure: OSError | None = None
     while True:
         try:
             result = call()
         except OSError as error:
             failure = error
-            if not is_transient(error) or loop.time() >= patience_ends:
-                raise  # whoever started the program gets one line, not one for each try
+            if not is_transient(error) or loop.time() >= retry_until:
+                raise  # main() prints a single line, not one for each attempt
         else:
             if failure is not None:
-                log.warning("the start had to try again: %s", failure)
+                log.warning("start-up call succeeded after retries; last error: %s", failure)
             return result
         await asyncio.sleep(START_RETRY_INTERVAL_S)
--- a/dykeshift/node/passing_errors.py
+++ b/dykeshift/node/passing_errors.py
@@ -1,13 +1,13 @@
-"""Failures of system calls that may be over a moment later, as the manual pages of Linux describe them."""
+"""Transient errors of system calls, as the Linux manual pages describe them."""
 
 from __future__ import annotations
 
 import errno
 
-START_RETRY_TIMEOUT_S = 5.0  # a start has to be ready within 10 s
-START_RETRY_INTERVAL_S = 0.05  # seconds between two such tries
+START_RETRY_TIMEOUT_S = 5.0  # a starting balancer has to be ready within 10 s
+START_RETRY_INTERVAL_S = 0.05
 
-# Shortages of the process or the machine, and addresses or devices that are not free for a moment.
+# Resource shortages of the process or the machine, and addresses or devices that are temporarily in use.
 TRANSIENT_ERRORS = frozenset(
     {
         errno.EADDRINUSE,
@@ -24,5 +24,5 @@
 
 
 def is_transient(error: OSError) -> bool:
-    """Whether the same call may do a moment later."""
+    """Whether the same call may succeed a moment later."""
     return error.errno in TRANSIENT_ERRORS
--- a/dykeshift/node/startup.py
+++ b/dykeshift/node/startup.py
@@ -1,4 +1,4 @@
-"""What a start needs from the system: tried again for a moment where a failure may pass."""
+"""Start-up steps that are retried while they fail with transient errors."""
 
 from __future__ import annotations
 
@@ -16,22 +16,28 @@
 
 
 def load_config_with_retries(path: str) -> config.Config:
-    """The configuration from its file, which may be unreadable for a moment; ConfigError if it stays so."""
+    """Load the configuration file; retry while it cannot be read because of a transient error.
+
+    Raises ConfigError if the file is invalid, or still unreadable after START_RETRY_TIMEOUT_S.
+    """
     return _retry(lambda: config.load(path), lambda error: isinstance(error, config.TransientReadError))
 
 
 def new_event_loop() -> asyncio.AbstractEventLoop:
-    """An event loop, whose descriptors may be refused for a moment; OSError if they stay so."""
+    """Create an event loop; retry while its file descriptors are refused because of a transient error.
+
+    Raises OSError if they are still refused after START_RETRY_TIMEOUT_S.
+    """
     return _retry(uvloop.new_event_loop, lambda error: isinstance(error, OSError) and is_transient(error))
 
 
-def _retry(call: Callable[[], Result], passes: Callable[[Exception], bool]) -> Result:
-    """Call until it does, for START_PATIENCE at the most while its failures may pass."""
-    patience_ends = time.monotonic() + START_RETRY_TIMEOUT_S
+def _retry(call: Callable[[], Result], may_retry: Callable[[Exception], bool]) -> Result:
+    """Call until it succeeds; retry the errors that allow it for at most START_RETRY_TIMEOUT_S."""
+    retry_until = time.monotonic() + START_RETRY_TIMEOUT_S
     while True:
         try:
             return call()
         except Exception as error:
-            if not passes(error) or time.monotonic() >= patience_ends:
+            if not may_retry(error) or time.monotonic() >= retry_until:
                 raise
         time.sleep(START_RETRY_INTERVAL_S)
