--- a/dykeshift/node/__main__.py
+++ b/dykeshift/node/__main__.py
@@ -1,4 +1,4 @@
-"""Run one real balancer: `python -m dykeshift.node`, configured by the file that NODE_CONFIG names."""
+"""The balancer process: `python -m dykeshift.node`, configured by the file that NODE_CONFIG names."""
 
 from __future__ import annotations
 
@@ -35,6 +35,11 @@
     load_configuration: Callable[[], config.Config],
     on_started: Callable[[Frontend, Listener, ConfigReload], None] | None = None,
 ) -> None:
+    """Run the balancer until it has been shut down by SIGTERM or SIGINT.
+
+    `load_configuration` is called after SIGHUP, `on_started` when clients can connect. Raises ConfigError if
+    the process cannot listen on the configured address.
+    """
     loop = asyncio.get_running_loop()
     pool = Pool(
         loop, configuration.max_connections, configuration.connect_timeout_s, configuration.keepalive_s
@@ -58,11 +63,11 @@
         requests.RequestReader(configuration.settings.classes, configuration.tenants),
         configuration.max_connections,
     )
-    stop = StopSignal(loop)
-    loop.add_signal_handler(signal.SIGTERM, stop)
-    loop.add_signal_handler(signal.SIGINT, stop)
-    reload = ConfigReload(loop, load_configuration, discovery, driver)
-    loop.add_signal_handler(signal.SIGHUP, reload)
+    stop_signal = StopSignal(loop)
+    loop.add_signal_handler(signal.SIGTERM, stop_signal)
+    loop.add_signal_handler(signal.SIGINT, stop_signal)
+    reload_on_sighup = ConfigReload(loop, load_configuration, discovery, driver)
+    loop.add_signal_handler(signal.SIGHUP, reload_on_sighup)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])
     try:
         listener = await Listener.open(loop, configuration.listen, front.new_connection)
@@ -70,27 +75,27 @@
         raise listen_error(configuration, error) from None
     driver.start()
     discovery.apply_known_list(configuration.known_list)
-    watch = start_settings_watch(configuration, SettingsApplier(driver, discovery, front))
+    settings_watch = start_settings_watch(configuration, SettingsApplier(driver, discovery, front))
     if not configuration.settings.watch_discovery:
         discovery.start()
-        # What the agent has counts as told since before the program was loaded: the list known from
-        # before serves only if the agent has nothing to say.
+        # The balancer has to follow what the agent already held before this process was loaded. The list
+        # known from before the start is used for service only if the agent's first answer brings nothing.
         await discovery.call_finished.wait()
-    if watch is not None:
-        await watch.wait_until_up_to_date()
-    if stop.received_at is not None:  # the time until SIGKILL runs already, and nobody has been taken on
-        log.info("stopped before it began to serve")
+    if settings_watch is not None:
+        await settings_watch.wait_until_up_to_date()
+    if stop_signal.received_at is not None:  # the time until SIGKILL is running, and no client was accepted
+        log.info("shutdown requested before service began; no connection was accepted")
         return
     try:
         await listener.start_accepting()
     except OSError as error:
         raise listen_error(configuration, error) from None
     gc.collect()
-    gc.freeze()  # what lives as long as the program is not walked again by each collection
+    gc.freeze()  # objects that live as long as the process are not scanned by later collections
     gc.enable()
     if on_started is not None:
-        on_started(front, listener, reload)
-    signalled_at = await stop.wait()
+        on_started(front, listener, reload_on_sighup)
+    signalled_at = await stop_signal.wait()
     await shut_down_gracefully(
         front,
         listener,
@@ -100,7 +105,7 @@
 
 
 def listen_error(configuration: config.Config, error: OSError) -> config.ConfigError:
-    """The one line that ends a start whose clients could not reach it."""
+    """The error that ends the start when the process cannot listen for clients."""
     host, port = configuration.listen
     return config.ConfigError(f"cannot listen on {host}:{port}: {error}")
 
@@ -108,7 +113,7 @@
 def start_settings_watch(
     configuration: config.Config, service: SettingsApplier
 ) -> SettingsWatch[config.Config] | None:
-    """The watch on the settings, begun, where the configuration names an agent for it."""
+    """Start watching the settings, or return None if the configuration names no settings agent."""
     if configuration.control is None:
         return None
     base: dict[str, Any] = configuration.raw["settings"]
@@ -118,24 +123,25 @@
 
 
 def run(path: str) -> None:
-    """Serve by this file until told to end; ConfigError or OSError if it cannot start."""
-    # It would end the program; one that comes before there is a handler waits until there is.
+    """Run the balancer with this configuration file; raises ConfigError or OSError if it cannot start."""
+    # SIGHUP would end the process before its handler is installed; blocked, it stays pending until then.
     signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGHUP])
     configuration = load_config_with_retries(path)
-    reload = partial(config.load, path, with_known_list=False)  # the list held is newer
+    # The server list that the process holds is newer than the one in the file.
+    load_again = partial(config.load, path, with_known_list=False)
     with asyncio.Runner(loop_factory=new_event_loop) as runner:
-        runner.run(serve(configuration, reload))
+        runner.run(serve(configuration, load_again))
 
 
 def main() -> int:
-    """Run the program; its exit code."""
+    """Run the process and return its exit code: 0 after a shutdown, 2 if it cannot start."""
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s %(message)s")
-    gc.freeze()  # the code itself
-    gc.disable()  # until all is loaded: hardly anything of it is garbage
+    gc.freeze()  # the loaded code lives as long as the process
+    gc.disable()  # until the start is complete, which creates hardly any garbage
     path = os.environ.get("NODE_CONFIG")
     try:
         if not path:
-            raise config.ConfigError("NODE_CONFIG is not set; it names the configuration file")
+            raise config.ConfigError("NODE_CONFIG is not set; it has to name the configuration file")
         run(path)
     except (config.ConfigError, OSError) as error:
         print(f"balancer: {error}", file=sys.stderr)
--- a/dykeshift/node/shutdown.py
+++ b/dykeshift/node/shutdown.py
@@ -1,4 +1,4 @@
-"""The end of service after SIGTERM: nobody is turned away too early, all taken are answered in time."""
+"""Graceful shutdown after SIGTERM: accepts connections for a while, answers all requests before SIGKILL."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 
 log = logging.getLogger(__name__)
 
-# All times in seconds.
-ACCEPT_AFTER_SIGTERM_S = 0.6  # after SIGTERM, in which new connections still come
-SIGKILL_AFTER_DEADLINE_S = 0.7  # from the longest deadline to the earliest SIGKILL
-MAX_COUNTED_DEADLINE_S = 3.0  # a longer deadline counts for so much
-MAX_STALL_S = 0.15  # that the process may get no processor time for, at any moment
-# Before SIGKILL, by which all is answered: the process may be held up once before it comes to SIGTERM and
-# once more before its last answers are written, and these take some time when many requests end at once.
+ACCEPT_AFTER_SIGTERM_S = 0.6  # new connections still arrive for this long
+SIGKILL_AFTER_DEADLINE_S = 0.7  # earliest SIGKILL, after SIGTERM plus the longest deadline
+MAX_COUNTED_DEADLINE_S = 3.0  # longer deadlines do not delay SIGKILL any further
+MAX_STALL_S = 0.15  # time for which the process may get no processor time at any moment
+# From the end of service, when every request has its final answer, to the earliest SIGKILL. The process may
+# stall once before it handles SIGTERM and once more before its last answers are written, and writing them
+# takes some time when many requests end at once.
 SIGKILL_MARGIN_S = 2 * MAX_STALL_S + 0.05
-CLOSING_PHASE_S = 0.3  # before the end of service, in which no client is kept any more
-CLIENT_CLOSE_WAIT_S = 0.15  # after the end of service, for clients to read and close
-POLL_INTERVAL_S = 0.02  # between two looks whether all is answered
+CLOSING_PHASE_S = 0.3  # before the end of service; connections are no longer kept alive in it
+CLIENT_CLOSE_WAIT_S = 0.15  # after the end of service, for clients to read and close; then the process ends
+POLL_INTERVAL_S = 0.02
 
 
 class StopSignal:
-    """SIGTERM or SIGINT; the time until SIGKILL runs from when the first of them came."""
+    """Handler of SIGTERM and SIGINT; the time until SIGKILL is counted from the first of them."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
         self._received = asyncio.Event()
-        self.received_at: float | None = None  # by the loop's clock, in seconds
+        self.received_at: float | None = None  # loop time in seconds
 
     def __call__(self) -> None:
         """Handle the signal."""
@@ -39,53 +39,53 @@
             self._received.set()
 
     async def wait(self) -> float:
-        """Wait for the signal; when it came, by the loop's clock."""
+        """Wait for the signal and return the loop time, in seconds, at which it was handled."""
         await self._received.wait()
         assert self.received_at is not None
         return self.received_at
 
 
 async def shut_down_gracefully(
-    front: Frontend, listener: Listener, signalled_at: float, longest_deadline: float
+    frontend: Frontend, listener: Listener, signalled_at: float, longest_deadline: float
 ) -> None:
-    """Let go of the clients: none is turned away while some may still come, all taken are answered.
+    """Serve, answer and then close all client connections before the earliest SIGKILL.
 
-    Those connected are served for as long as there is time: let go at once, they found nobody where the
-    other balancers were being restarted too. `told_at` is when SIGTERM came, `longest` the longest deadline
-    in seconds.
+    New connections are accepted for ACCEPT_AFTER_SIGTERM_S. Connected clients are served until the closing
+    phase, because clients that were disconnected at once found no balancer while the others were restarted
+    too. `signalled_at` is the loop time of SIGTERM, `longest_deadline` is in seconds.
     """
     loop = asyncio.get_running_loop()
-    end = (
+    service_end = (
         signalled_at
         + min(longest_deadline, MAX_COUNTED_DEADLINE_S)
         + SIGKILL_AFTER_DEADLINE_S
         - SIGKILL_MARGIN_S
     )
-    front.is_stopping = True
-    front.driver.set_stop_deadline(time.monotonic_ns() + int((end - loop.time()) * 1e9))
-    jobs = front.driver.open_requests
-    log.info("stopping: %d clients are connected, %d requests open", len(front.connections), len(jobs))
-    while loop.time() < min(signalled_at + ACCEPT_AFTER_SIGTERM_S, end) or (
-        front.connections and loop.time() < end - CLOSING_PHASE_S
+    frontend.is_stopping = True
+    frontend.driver.set_stop_deadline(time.monotonic_ns() + int((service_end - loop.time()) * 1e9))
+    open_requests = frontend.driver.open_requests
+    log.info("shutting down: %d clients connected, %d requests in flight", len(frontend.connections), len(open_requests))
+    while loop.time() < min(signalled_at + ACCEPT_AFTER_SIGTERM_S, service_end) or (
+        frontend.connections and loop.time() < service_end - CLOSING_PHASE_S
     ):
         await asyncio.sleep(POLL_INTERVAL_S)
-    front.closes_after_response = True
-    while listener.has_pending_connections() and loop.time() < end:
-        await asyncio.sleep(0)  # closed now, it would reset those who wait to be accepted
+    frontend.closes_after_response = True
+    while listener.has_pending_connections() and loop.time() < service_end:
+        await asyncio.sleep(0)  # closing the socket now would reset pending connections
     await listener.close()
-    await close_idle_until(front, end)
-    front.refuse_incomplete_requests()
-    await close_idle_until(front, end + CLIENT_CLOSE_WAIT_S)
+    await close_idle_until(frontend, service_end)
+    frontend.refuse_incomplete_requests()
+    await close_idle_until(frontend, service_end + CLIENT_CLOSE_WAIT_S)
     log.info(
-        "stopped: %d clients are left, %d requests open",
-        sum(not client.is_lingering() for client in front.connections),
-        len(jobs),
+        "shutdown complete: %d clients without a final answer, %d requests in flight",
+        sum(not connection.is_lingering() for connection in frontend.connections),
+        len(open_requests),
     )
 
 
-async def close_idle_until(front: Frontend, deadline: float) -> None:
-    """Close connections as they come to rest, until none is left or that time of the loop has come."""
+async def close_idle_until(frontend: Frontend, deadline: float) -> None:
+    """Close connections as they become idle, until none is left or the loop time reaches `deadline`."""
     loop = asyncio.get_running_loop()
-    while front.connections and loop.time() < deadline:
-        front.close_idle()
+    while frontend.connections and loop.time() < deadline:
+        frontend.close_idle()
         await asyncio.sleep(POLL_INTERVAL_S)
