--- a/dykeshift/node/__main__.py
+++ b/dykeshift/node/__main__.py
@@ -57,7 +57,7 @@
         configuration.drain_grace_s,
         lambda number: pool.listed_servers.get(number),
     )
-    front = Frontend(
+    frontend = Frontend(
         loop,
         driver,
         requests.RequestReader(configuration.settings.classes, configuration.tenants),
@@ -70,12 +70,12 @@
     loop.add_signal_handler(signal.SIGHUP, reload_on_sighup)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGHUP])
     try:
-        listener = await Listener.open(loop, configuration.listen, front.new_connection)
+        listener = await Listener.open(loop, configuration.listen, frontend.new_connection)
     except OSError as error:
         raise listen_error(configuration, error) from None
     driver.start()
     discovery.apply_known_list(configuration.known_list)
-    settings_watch = start_settings_watch(configuration, SettingsApplier(driver, discovery, front))
+    settings_watch = start_settings_watch(configuration, SettingsApplier(driver, discovery, frontend))
     if not configuration.settings.watch_discovery:
         discovery.start()
         # The balancer has to follow what the agent already held before this process was loaded. The list
@@ -94,13 +94,13 @@
     gc.freeze()  # objects that live as long as the process are not scanned by later collections
     gc.enable()
     if on_started is not None:
-        on_started(front, listener, reload_on_sighup)
+        on_started(frontend, listener, reload_on_sighup)
     signalled_at = await stop_signal.wait()
     await shut_down_gracefully(
-        front,
+        frontend,
         listener,
         signalled_at,
-        max((c.client_timeout for c in front.request_reader.classes), default=0) / 1e9,
+        max((c.client_timeout for c in frontend.request_reader.classes), default=0) / 1e9,
     )
 
 
--- a/dykeshift/node/shutdown.py
+++ b/dykeshift/node/shutdown.py
@@ -12,8 +12,8 @@
 log = logging.getLogger(__name__)
 
 ACCEPT_AFTER_SIGTERM_S = 0.6  # new connections still arrive for this long
-SIGKILL_AFTER_DEADLINE_S = 0.7  # earliest SIGKILL, after SIGTERM plus the longest deadline
-MAX_COUNTED_DEADLINE_S = 3.0  # longer deadlines do not delay SIGKILL any further
+SIGKILL_AFTER_CLIENT_TIMEOUT_S = 0.7  # from SIGTERM plus the longest client timeout to the earliest SIGKILL
+MAX_COUNTED_CLIENT_TIMEOUT_S = 3.0  # longer client timeouts do not delay SIGKILL any further
 MAX_STALL_S = 0.15  # time for which the process may get no processor time at any moment
 # From the end of service, when every request has its final answer, to the earliest SIGKILL. The process may
 # stall once before it handles SIGTERM and once more before its last answers are written, and writing them
@@ -46,25 +46,29 @@
 
 
 async def shut_down_gracefully(
-    frontend: Frontend, listener: Listener, signalled_at: float, longest_deadline: float
+    frontend: Frontend, listener: Listener, signalled_at: float, longest_client_timeout_s: float
 ) -> None:
     """Serve, answer and then close all client connections before the earliest SIGKILL.
 
-    New connections are accepted for ACCEPT_AFTER_SIGTERM_S. Connected clients are served until the closing
-    phase, because clients that were disconnected at once found no balancer while the others were restarted
-    too. `signalled_at` is the loop time of SIGTERM, `longest_deadline` is in seconds.
+    New connections are accepted for at least ACCEPT_AFTER_SIGTERM_S. Connected clients are served until the
+    closing phase, because clients that were disconnected at once found no balancer while the others were
+    restarted too. `signalled_at` is the loop time of SIGTERM.
     """
     loop = asyncio.get_running_loop()
     service_end = (
         signalled_at
-        + min(longest_deadline, MAX_COUNTED_DEADLINE_S)
-        + SIGKILL_AFTER_DEADLINE_S
+        + min(longest_client_timeout_s, MAX_COUNTED_CLIENT_TIMEOUT_S)
+        + SIGKILL_AFTER_CLIENT_TIMEOUT_S
         - SIGKILL_MARGIN_S
     )
     frontend.is_stopping = True
     frontend.driver.set_stop_deadline(time.monotonic_ns() + int((service_end - loop.time()) * 1e9))
     open_requests = frontend.driver.open_requests
-    log.info("shutting down: %d clients connected, %d requests in flight", len(frontend.connections), len(open_requests))
+    log.info(
+        "shutting down: %d clients connected, %d requests in flight",
+        len(frontend.connections),
+        len(open_requests),
+    )
     while loop.time() < min(signalled_at + ACCEPT_AFTER_SIGTERM_S, service_end) or (
         frontend.connections and loop.time() < service_end - CLOSING_PHASE_S
     ):
--- a/tests/node/test_wind_down.py
+++ b/tests/node/test_wind_down.py
@@ -28,8 +28,8 @@
     """The listener is closed at once; SIGKILL is due 0.4 s after SIGTERM."""
     times = {
         "ACCEPT_AFTER_SIGTERM_S": 0.0,
-        "MAX_COUNTED_DEADLINE_S": 0.2,
-        "SIGKILL_AFTER_DEADLINE_S": 0.2,
+        "MAX_COUNTED_CLIENT_TIMEOUT_S": 0.2,
+        "SIGKILL_AFTER_CLIENT_TIMEOUT_S": 0.2,
         "SIGKILL_MARGIN_S": 0.1,
         "CLOSING_PHASE_S": 1.0,
     }
