--- a/dykeshift/node/__main__.py
+++ b/dykeshift/node/__main__.py
@@ -79,7 +79,7 @@
     if not configuration.settings.watch_discovery:
         discovery.start()
         # The balancer has to follow what the agent already held before this process was loaded. The list
-        # known from before the start is used for service only if the agent's first answer brings nothing.
+        # known from before the start serves only if the first call to the agent brings nothing.
         await discovery.call_finished.wait()
     if settings_watch is not None:
         await settings_watch.wait_until_up_to_date()
