--- a/tests/node/test_program.py
+++ b/tests/node/test_program.py
@@ -202,8 +202,10 @@
             assert await idle.reader.read() == b""
             assert process.stderr is not None
             told = (await process.stderr.read()).decode()
-            assert "shutting down: 2 clients connected" in told
-            assert "shutdown complete: 0 clients without a final answer" in told
+            assert (
+                "shutting down: 2 clients connected" in told
+                and "shutdown complete: 0 clients without a final answer" in told
+            )
             assert await process.wait() == 0
 
     run(main())
