--- a/dykeshift/benchlink.py
+++ b/dykeshift/benchlink.py
@@ -1,6 +1,7 @@
-"""Adapter between the simulator's wire and the decision module: translates, hosts instances, decides nothing.
+"""Adapter between the simulator's line protocol and the decision module.
 
-Run as `python -m dykeshift.benchlink`. Standard output carries the wire only.
+It hosts the instances and translates events and actions; all decisions are the module's. Run as
+`python -m dykeshift.benchlink`. Standard output carries nothing but the protocol.
 """
 
 from __future__ import annotations
@@ -54,7 +55,7 @@
     "ecanceled": Outcome.CANCELLED,
     "skipped": Outcome.NOT_SENT,
 }
-_FIELDS = {  # parts of each event line, its name included
+_FIELD_COUNTS = {  # tab-separated parts of each event line, including its name
     "CONFIGURE": 4,
     "SHUTDOWN": 2,
     "ANNOUNCE": 5,
@@ -69,102 +70,104 @@
 }
 
 
-def _int(text: str) -> int:
+def _parse_int(text: str) -> int:
+    """Parse an integer; `-` stands for a missing one and becomes 0."""
     return 0 if text == "-" else int(text)
 
 
-def _report(text: str) -> LoadReport | None:
+def _parse_load_report(text: str) -> LoadReport | None:
     pairs = (pair.partition(":") for pair in text.split(","))
     return build_load_report({name: float(value) for name, _, value in pairs if name in LOAD_REPORT_FIELDS})
 
 
-def _encode(i: int, actions: list[Action], out: list[str]) -> None:
-    for a in actions:
-        if isinstance(a, Send):
-            out.append(f"PLACE\t{i}\t{a.request_id}\t{a.server_id}\t{a.timeout}\n")
-        elif isinstance(a, SetTimer):
-            out.append(f"TIMER\t{i}\t{a.token}\t{a.fire_at}\n")
-        elif isinstance(a, Cancel):
-            out.append(f"WITHDRAW\t{i}\t{a.request_id}\t{a.attempt_index}\n")
-        elif isinstance(a, Refuse):
-            out.append(f"DENY\t{i}\t{a.request_id}\t{a.retry_after}\n")
-        elif isinstance(a, Fail):
-            out.append(f"FINISH_ERROR\t{i}\t{a.request_id}\n")
-        elif isinstance(a, Watch):
-            out.append(f"WATCH\t{i}\t1\n")
-        elif isinstance(a, Log):
-            out.append(f"EMIT\t{i}\t{' '.join(a.text.split())}\n")
+def _encode(instance_id: int, actions: list[Action], out: list[str]) -> None:
+    """Append one line for each action."""
+    for action in actions:
+        if isinstance(action, Send):
+            out.append(f"PLACE\t{instance_id}\t{action.request_id}\t{action.server_id}\t{action.timeout}\n")
+        elif isinstance(action, SetTimer):
+            out.append(f"TIMER\t{instance_id}\t{action.token}\t{action.fire_at}\n")
+        elif isinstance(action, Cancel):
+            out.append(f"WITHDRAW\t{instance_id}\t{action.request_id}\t{action.attempt_index}\n")
+        elif isinstance(action, Refuse):
+            out.append(f"DENY\t{instance_id}\t{action.request_id}\t{action.retry_after}\n")
+        elif isinstance(action, Fail):
+            out.append(f"FINISH_ERROR\t{instance_id}\t{action.request_id}\n")
+        elif isinstance(action, Watch):
+            out.append(f"WATCH\t{instance_id}\t1\n")
+        elif isinstance(action, Log):
+            out.append(f"EMIT\t{instance_id}\t{' '.join(action.text.split())}\n")
 
 
 class SimulatorLink:
-    """Hosts the instances and turns one batch into one reply."""
+    """Hosts the instances of the decision module and passes events to them."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Balancer] = {}
 
-    def event(self, now: int, parts: list[str], entries: list[list[str]]) -> list[Action]:
-        """Give one event to its instance; what it wants done comes back."""
-        name, i = parts[0], int(parts[1])
+    def handle_event(self, now: int, parts: list[str], entries: list[list[str]]) -> list[Action]:
+        """Pass one event to its instance and return the actions that it requests."""
+        name, instance_id = parts[0], int(parts[1])
         if name == "CONFIGURE":
             seed, settings = int(parts[2]), parse_settings_json(parts[3])
-            self.instances[i] = Balancer(settings, seed)
-            return self._decide(self.instances[i].on_start, now)
+            self.instances[instance_id] = Balancer(settings, seed)
+            return self._call_module(self.instances[instance_id].on_start, now)
         if name == "SHUTDOWN":
-            self.instances.pop(i, None)
+            self.instances.pop(instance_id, None)
             return []
-        balancer = self.instances.get(i)
+        balancer = self.instances.get(instance_id)
         if balancer is None:
-            raise MalformedInputError(f"instance {i} has no CONFIGURE yet")
+            raise MalformedInputError(f"instance {instance_id} has no CONFIGURE yet")
         if name == "SUBMIT":
-            if not 0 <= _int(parts[6]) < len(balancer.settings.classes):
-                raise MalformedInputError(f"kind {parts[6]} is no class of the settings")
+            if not 0 <= _parse_int(parts[6]) < len(balancer.settings.classes):
+                raise MalformedInputError(f"kind {parts[6]} is not the index of a class in the settings")
             request = Request(
                 id=parts[2],
-                class_index=_int(parts[6]),
+                class_index=_parse_int(parts[6]),
                 deadline=int(parts[8]),
-                cost_hint=_int(parts[7]),
+                cost_hint=_parse_int(parts[7]),
                 is_retry=parts[5] == "1",
-                tenant_index=_int(parts[4]),
+                tenant_index=_parse_int(parts[4]),
                 idempotency_key=None if parts[9] == "-" else parts[9],
             )
-            return self._decide(balancer.on_request, now, request)
+            return self._call_module(balancer.on_request, now, request)
         if name == "ANSWER":
             end = AttemptEnd(
                 request_id=parts[2],
                 attempt_index=int(parts[3]),
                 server_id=int(parts[4]),
                 outcome=parse_choice(_OUTCOMES, parts[5], "how"),
-                latency=_int(parts[6]),
+                latency=_parse_int(parts[6]),
                 request_closed=parts[7] == "1",
-                load_report=_report(parts[8]),
+                load_report=_parse_load_report(parts[8]),
             )
-            return self._decide(balancer.on_attempt_end, now, end)
+            return self._call_module(balancer.on_attempt_end, now, end)
         if name == "REMINDER":
-            return self._decide(balancer.on_timer, now, parts[2])
+            return self._call_module(balancer.on_timer, now, parts[2])
         if name == "GONE":
-            return self._decide(balancer.on_client_gone, now, parts[2])
+            return self._call_module(balancer.on_client_gone, now, parts[2])
         if name == "STREAMING":
-            return self._decide(balancer.on_stream_started, now, parts[2], int(parts[3]))
+            return self._call_module(balancer.on_stream_started, now, parts[2], int(parts[3]))
         if name == "ANNOUNCE":
-            rows = tuple(
+            servers = tuple(
                 ServerEntry(
-                    id=int(p[5]),
-                    zone=_int(p[7]),
-                    cell=_int(p[1]),
-                    kind=_int(p[2]),
-                    state=parse_choice(_STATES, p[3], "availability"),
-                    weight=1.0 if p[4] == "-" else float(p[4]),
-                    started_at=_int(p[6]),
+                    id=int(entry[5]),
+                    zone=_parse_int(entry[7]),
+                    cell=_parse_int(entry[1]),
+                    kind=_parse_int(entry[2]),
+                    state=parse_choice(_STATES, entry[3], "availability"),
+                    weight=1.0 if entry[4] == "-" else float(entry[4]),
+                    started_at=_parse_int(entry[6]),
                 )
-                for p in entries
+                for entry in entries
             )
-            return self._decide(
-                balancer.on_list, now, ServerListUpdate(parse_choice(_LIST_KINDS, parts[3], "kind"), rows)
+            return self._call_module(
+                balancer.on_list, now, ServerListUpdate(parse_choice(_LIST_KINDS, parts[3], "kind"), servers)
             )
-        return []  # PROBE_DONE and NEIGHBOUR_SAYS: this module sends no probes and no messages
+        return []  # PROBE_DONE and NEIGHBOUR_SAYS: the module sends neither probes nor messages
 
     @staticmethod
-    def _decide(method: Callable[..., list[Action]], *args: Any) -> list[Action]:
+    def _call_module(method: Callable[..., list[Action]], *args: Any) -> list[Action]:
         try:
             return method(*args)
         except Exception as exc:
@@ -172,68 +175,72 @@
 
 
 class DecisionError(Exception):
-    """The decision code itself failed."""
+    """The decision module raised an exception."""
 
 
-def _split(line: str, number: int) -> list[str]:
+def _split(line: str, line_number: int) -> list[str]:
     name = line.partition("\t")[0]
-    count = _FIELDS.get(name)
+    count = _FIELD_COUNTS.get(name)
     if count is None:
-        raise MalformedInputError(f"line {number}: unknown event {name[:40]!r}")
+        raise MalformedInputError(f"line {line_number}: unknown event {name[:40]!r}")
     parts = line.split("\t", count - 1) if name == "CONFIGURE" else line.split("\t")
     if len(parts) != count:
-        raise MalformedInputError(f"line {number}: {name} has {len(parts) - 1} fields, expected {count - 1}")
+        raise MalformedInputError(
+            f"line {line_number}: {name} has {len(parts) - 1} fields, expected {count - 1}"
+        )
     return parts
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batch after batch until the input ends."""
+    """Read batches of events and write the reply to each until the input ends."""
     link = SimulatorLink()
     lines: Iterator[tuple[int, str]] = enumerate((raw.rstrip("\r\n") for raw in source), 1)
-    for number, head in lines:
+    for line_number, head in lines:
         sync = head.split("\t")
         if sync[0] != "SYNC" or len(sync) != 3 or not sync[1].isdigit() or not sync[2].isdigit():
             raise MalformedInputError(
-                f"line {number}: expected SYNC, clock time and batch number, got {head[:60]!r}"
+                f"line {line_number}: expected SYNC, clock time and batch number, got {head[:60]!r}"
             )
         now, out = int(sync[1]), list[str]()
         while True:
-            number, line = next(lines, (number, ""))
+            line_number, line = next(lines, (line_number, ""))
             if line == "END":
                 break
             if not line:
                 raise MalformedInputError(
-                    f"line {number}: batch {sync[2]} was cut short, expected an event or END"
+                    f"line {line_number}: batch {sync[2]} was cut short, expected an event or END"
                 )
-            parts = _split(line, number)
-            where = number
+            parts = _split(line, line_number)
+            last_line_number = line_number
             try:
                 if parts[0] == "M":
                     raise MalformedInputError("list entry outside an ANNOUNCE")
                 entries = []
                 for _ in range(int(parts[4]) if parts[0] == "ANNOUNCE" else 0):
-                    where, row = next(lines, (where, ""))
+                    last_line_number, row = next(lines, (last_line_number, ""))
                     if row.partition("\t")[0] != "M":
                         raise MalformedInputError("expected a list entry M")
-                    entries.append(_split(row, where))
-                number = where
-                _encode(int(parts[1]), link.event(now, parts, entries), out)
-            except DecisionError as fault:
-                out.append(f"BUG\t{parts[1]}\t{fault}\n".replace("\r", " "))
+                    entries.append(_split(row, last_line_number))
+                line_number = last_line_number
+                _encode(int(parts[1]), link.handle_event(now, parts, entries), out)
+            except DecisionError as error:
+                out.append(f"BUG\t{parts[1]}\t{error}\n".replace("\r", " "))
             except MalformedInputError as exc:
                 text = str(exc)
                 raise MalformedInputError(
-                    text if text.startswith("line ") else f"line {where}: {text}"
+                    text if text.startswith("line ") else f"line {last_line_number}: {text}"
                 ) from None
             except ValueError as exc:
-                raise MalformedInputError(f"line {where}: {parts[0]} expects a number: {exc}") from None
+                raise MalformedInputError(
+                    f"line {last_line_number}: {parts[0]} expects a number: {exc}"
+                ) from None
         out.append(f"END\t{sync[2]}\n")
         sink.write("".join(out))
         sink.flush()
 
 
 def main() -> int:
-    gc.disable()  # the module makes no cycles; a collection in mid-batch would only cost time
+    gc.disable()  # the module creates no reference cycles; a collection would only take time from a batch
     try:
         serve(sys.stdin, sys.stdout)
     except MalformedInputError as exc:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,7 @@
-"""The adapter as a subprocess on small hand-written dialogues; determinism; what the module may import."""
+"""The simulator adapter as a subprocess on short dialogues, and static checks of the decision module.
+
+The actions have to be the same for the same events, and the module may use nothing but its arguments.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parent.parent
-RULES = ROOT / "dykeshift" / "rules.py"
+RULES_FILE = ROOT / "dykeshift" / "rules.py"
 
 
 def settings(**changes: Any) -> dict[str, Any]:
@@ -50,7 +53,7 @@
     return values
 
 
-def run(text: str, **env: str) -> subprocess.CompletedProcess[str]:
+def run_adapter(text: str, **env: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "dykeshift.benchlink"],
         input=text,
@@ -62,50 +65,52 @@
     )
 
 
-def batch(n: int, now: int, *lines: str) -> str:
-    return "".join(f"{x}\n" for x in (f"SYNC\t{now}\t{n}", *lines, "END"))
+def batch(number: int, now: int, *lines: str) -> str:
+    return "".join(f"{line}\n" for line in (f"SYNC\t{now}\t{number}", *lines, "END"))
 
 
-def configure(i: int = 0, seed: int = 7, **changes: Any) -> list[str]:
+def configure(instance: int = 0, seed: int = 7, **changes: Any) -> list[str]:
     return [
-        f"CONFIGURE\t{i}\t{seed}\t{json.dumps(settings(**changes))}",
-        f"ANNOUNCE\t{i}\t1\tdisk\t2",
+        f"CONFIGURE\t{instance}\t{seed}\t{json.dumps(settings(**changes))}",
+        f"ANNOUNCE\t{instance}\t1\tdisk\t2",
         "M\t0\t0\tlive\t1\t11\t-\t0",
         "M\t0\t0\tlive\t1\t12\t-\t0",
     ]
 
 
-def submit(i: int, rid: str, deadline: int) -> str:
-    return f"SUBMIT\t{i}\t{rid}\t0\t0\t0\t0\t12000000\t{deadline}\t-"
+def submit(instance: int, request_id: str, deadline: int) -> str:
+    return f"SUBMIT\t{instance}\t{request_id}\t0\t0\t0\t0\t12000000\t{deadline}\t-"
 
 
-def test_a_small_dialogue() -> None:
-    done = run(batch(1, 1000) + batch(2, 2000, *configure()) + batch(3, 5000000, submit(0, "c:a", 445000000)))
-    assert done.returncode == 0 and not done.stderr
-    replies = done.stdout.split("END\t")
+def test_a_request_is_placed_on_a_listed_server() -> None:
+    result = run_adapter(
+        batch(1, 1000) + batch(2, 2000, *configure()) + batch(3, 5000000, submit(0, "c:a", 445000000))
+    )
+    assert result.returncode == 0 and not result.stderr
+    replies = result.stdout.split("END\t")
     assert replies[0] == "" and replies[1].startswith("1\n")
-    place = [x for x in done.stdout.splitlines() if x.startswith("PLACE")]
+    place = [line for line in result.stdout.splitlines() if line.startswith("PLACE")]
     assert place and place[0].split("\t")[:3] == ["PLACE", "0", "c:a"]
-    assert {x.split("\t")[3] for x in place} <= {"11", "12"}
-    assert done.stdout.endswith("END\t3\n")
+    assert {line.split("\t")[3] for line in place} <= {"11", "12"}
+    assert result.stdout.endswith("END\t3\n")
 
 
-def test_restart_in_one_batch_and_unknown_report_fields() -> None:
-    first = run(batch(1, 0, *configure()) + batch(2, 10, submit(0, "c:a", 440000000)))
-    server = next(x for x in first.stdout.splitlines() if x.startswith("PLACE")).split("\t")[3]
-    done = run(
+def test_an_instance_can_restart_within_a_batch_and_unknown_report_fields_are_ignored() -> None:
+    first = run_adapter(batch(1, 0, *configure()) + batch(2, 10, submit(0, "c:a", 440000000)))
+    server = next(line for line in first.stdout.splitlines() if line.startswith("PLACE")).split("\t")[3]
+    result = run_adapter(
         batch(1, 0, *configure())
         + batch(2, 10, submit(0, "c:a", 440000000))
         + batch(3, 50000000, f"ANSWER\t0\tc:a\t0\t{server}\tdone\t49000000\t1\tcpu_share:0.5,novel:3")
         + batch(4, 60000000, "SHUTDOWN\t0", *configure(seed=8), submit(0, "c:b", 500000000))
         + batch(5, 61000000, "GONE\t0\tc:a", "REMINDER\t0\tr:c:a")
     )
-    assert done.returncode == 0, done.stderr
-    assert sum(x.startswith("PLACE\t0\tc:b") for x in done.stdout.splitlines()) in (1, 2)
+    assert result.returncode == 0, result.stderr
+    assert sum(line.startswith("PLACE\t0\tc:b") for line in result.stdout.splitlines()) in (1, 2)
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ("HELLO\n", "line 1: expected SYNC"),
         ("SYNC\tx\t1\nEND\n", "line 1: expected SYNC"),
@@ -114,7 +119,10 @@
         (batch(1, 0, *configure(), "GONE\tx\tc:a"), "expects a number"),
         (batch(1, 0, "GONE\t4\tc:a"), "instance 4 has no CONFIGURE"),
         (batch(1, 0, *configure(), "ANSWER\t0\tc:a\t0\t11\tsplendid\t5\t1\t-"), "how is 'splendid'"),
-        (batch(1, 0, *configure(), "SUBMIT\t0\tc:a\t0\t0\t0\t9\t-\t5\t-"), "no class of the settings"),
+        (
+            batch(1, 0, *configure(), "SUBMIT\t0\tc:a\t0\t0\t0\t9\t-\t5\t-"),
+            "kind 9 is not the index of a class in the settings",
+        ),
         (batch(1, 0, *configure())[:-4], "cut short"),
         ("SYNC\t0\t1\nANNOUNCE\t0\t1\tdisk\t2\nM\t0\t0\tlive\t1\t11\t-\t0\nEND\n", "expected a list entry"),
         (batch(1, 0, "CONFIGURE\t0\t1\t{"), "settings are not valid JSON"),
@@ -123,48 +131,57 @@
         (batch(1, 0, *configure(balancers="many")), "wrong type"),
     ],
 )
-def test_malformed_input_gets_one_plain_line(text: str, says: str) -> None:
-    done = run(text)
-    assert done.returncode != 0
-    assert says in done.stderr and done.stderr.count("\n") == 1 and "Traceback" not in done.stderr
-    assert all(x.split("\t")[0] in {"END", "TIMER", "PLACE", "WATCH"} for x in done.stdout.splitlines())
+def test_malformed_input_is_reported_in_one_line(text: str, message: str) -> None:
+    result = run_adapter(text)
+    assert result.returncode != 0
+    assert message in result.stderr and result.stderr.count("\n") == 1 and "Traceback" not in result.stderr
+    assert all(
+        line.split("\t")[0] in {"END", "TIMER", "PLACE", "WATCH"} for line in result.stdout.splitlines()
+    )
 
 
-def story(instances: list[int]) -> str:
-    """The same life for each instance, with answers to whatever was sent left out on purpose."""
-    out = batch(1, 0, *(x for i in instances for x in configure(i, seed=i + 1)))
+def requests_without_answers(instances: list[int]) -> str:
+    """The same requests for each instance; what it sends gets no answers on purpose."""
+    out = batch(1, 0, *(line for i in instances for line in configure(i, seed=i + 1)))
     for n in range(2, 80):
         now = n * 20000000
         out += batch(n, now, *(submit(i, f"c:{i}x{n}", now + 440000000) for i in instances))
     return out
 
 
-def actions_of(text: str, i: int) -> list[str]:
-    return [x for x in text.splitlines() if x.split("\t")[:2][1:] == [str(i)] and not x.startswith("END")]
+def actions_of(text: str, instance: int) -> list[str]:
+    return [
+        line
+        for line in text.splitlines()
+        if line.split("\t")[:2][1:] == [str(instance)] and not line.startswith("END")
+    ]
 
 
-def test_same_events_same_actions_however_hashed_or_shared() -> None:
-    together = [run(story([0, 1, 2]), PYTHONHASHSEED=seed).stdout for seed in ("0", "1", "4242")]
+def test_the_same_events_give_the_same_actions_whatever_the_hash_seed_or_the_other_instances() -> None:
+    together = [
+        run_adapter(requests_without_answers([0, 1, 2]), PYTHONHASHSEED=seed).stdout
+        for seed in ("0", "1", "4242")
+    ]
     assert together[0] == together[1] == together[2]
     for i in (0, 1, 2):
-        alone = run(story([i])).stdout
+        alone = run_adapter(requests_without_answers([i])).stdout
         assert actions_of(alone, i) == actions_of(together[0], i) and len(actions_of(alone, i)) > 50
 
 
-def test_the_module_keeps_its_limits() -> None:
-    lines = RULES.read_text().splitlines()
-    assert sum(bool(x.strip()) for x in lines) <= 1200
+def test_the_rules_file_keeps_its_size_limits() -> None:
+    lines = RULES_FILE.read_text().splitlines()
+    assert sum(bool(line.strip()) for line in lines) <= 1200
     assert max(map(len, lines)) <= 110
     assert "interface.py" in "".join(lines[:3])
 
 
-def test_the_module_reaches_no_clock_file_or_environment() -> None:
-    tree = ast.parse(RULES.read_text())
+def test_the_decision_module_has_no_access_to_clock_files_or_environment() -> None:
+    tree = ast.parse(RULES_FILE.read_text())
     imported = {a.name for n in ast.walk(tree) if isinstance(n, ast.Import) for a in n.names}
     imported |= {n.module or "" for n in ast.walk(tree) if isinstance(n, ast.ImportFrom)}
     assert imported <= {"__future__", "array", "bisect", "dataclasses", "random", "dykeshift.interface"}
     names = {n.id for n in ast.walk(tree) if isinstance(n, ast.Name)}
     assert not names & {"open", "eval", "exec", "hash", "id", "__import__", "print", "input"}
-    froms = [n for n in ast.walk(tree) if isinstance(n, ast.ImportFrom)]
-    taken = {a.name for n in froms if n.module == "random" for a in n.names}
-    assert taken == {"Random"}, "only a seeded source of its own"
+    import_froms = [n for n in ast.walk(tree) if isinstance(n, ast.ImportFrom)]
+    from_random = {a.name for n in import_froms if n.module == "random" for a in n.names}
+    assert from_random == {"Random"}, "only an own seeded generator may be used"
