--- a/dykeshift/interface.py
+++ b/dykeshift/interface.py
@@ -1,6 +1,6 @@
-"""What goes in and out of the decision module: settings, events and actions. No logic.
+"""Settings, events and actions: the inputs and outputs of the decision module. No logic.
 
-All times are integers in nanoseconds on one clock that never runs backwards. Ids are opaque.
+All times and durations are integers in nanoseconds on one monotonic clock. Ids are opaque.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 
 
 class Idempotency(Enum):
-    SAFE = auto()  # may run any number of times
-    KEYED = auto()  # servers of one scope drop a repeat for a while
-    UNSAFE = auto()  # must never run twice
+    SAFE = auto()  # may be executed any number of times
+    KEYED = auto()  # servers within one scope drop repeats for a limited time
+    UNSAFE = auto()  # must never be executed twice
 
 
 class DedupScope(Enum):
@@ -26,22 +26,22 @@
 
 class ServerState(Enum):
     READY = auto()
-    DRAINING = auto()  # finishes what it has; send it nothing new
+    DRAINING = auto()  # finishes its requests and gets no new ones
     GONE = auto()
 
 
 class ListKind(Enum):
-    FULL = auto()  # the whole list; whoever is not on it is gone
-    CACHED = auto()  # the whole list as last seen before a restart, possibly stale
+    FULL = auto()  # the complete list; servers that are not on it are gone
+    CACHED = auto()  # the complete list as known before a restart, possibly stale
     DELTA = auto()  # changed entries only
-    FAILED = auto()  # a call to discovery was refused or answered wrongly; the list held stays valid
-    INTERRUPTED = auto()  # a call fell silent or broke off; the list held stays valid
+    FAILED = auto()  # discovery refused a call or answered it wrongly; the current list stays valid
+    INTERRUPTED = auto()  # a call to discovery stalled or its connection broke; the current list stays valid
 
 
 class Outcome(Enum):
     OK = auto()
     ERROR = auto()
-    FULL = auto()  # turned away unseen
+    FULL = auto()  # rejected by the server without being executed
     TIMEOUT = auto()
     CONNECT_FAILED = auto()
     RESET = auto()
@@ -49,50 +49,46 @@
     NOT_SENT = auto()
 
 
-# Ends that prove that nothing was executed.
+# Outcomes which prove that the server executed nothing.
 UNEXECUTED_OUTCOMES = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
     name: str
-    latency_target: int  # an answer within this earns the full worth
-    client_timeout: int  # what a client waits in all, over its tries
+    latency_target: int  # an answer within this time earns the full worth
+    client_timeout: int  # how long a client waits in total, over all its retries
     worth: float
-    late_worth_share: float  # part of the worth that an answer between aim and deadline still earns
+    late_worth_share: float  # share of the worth that an answer between target and timeout still earns
     idempotency: Idempotency
     dedup_scope: DedupScope
-    dedup_window: int  # how long repeats of a keyed request are dropped
+    dedup_window: int  # how long servers drop repeats of a keyed request
     stream: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
     classes: tuple[RequestClass, ...]
-    balancer_count: int  # how many share this fleet
+    balancer_count: int  # how many balancers share this fleet
     zone: int
     watch_discovery: bool  # changes arrive only after a Watch
-    max_watch_interval: int  # how long one may go without asking
-    max_attempts: int
-    copies_allowed: bool  # two attempts of one request may be out at once
+    max_watch_interval: int  # longest time between two Watch actions
+    max_attempts: int  # of one request
+    copies_allowed: bool  # whether two attempts of one request may be in flight at once
     cancel_allowed: bool
-    cold_capacity_share: float  # a fresh server starts at this share of its capacity or above
-    warm_up_time: int  # and is warm after this at the latest
-    overload_multiple: float  # a cold server sent more than this multiple of its present capacity
-    overload_window: int  # for this long falls over
-    answer_grace: int  # a final answer may come this long after the client's deadline
+    cold_capacity_share: float  # a server has at least this share of its capacity when it starts
+    warm_up_time: int  # and its full capacity after this time at the latest
+    overload_multiple: float  # a cold server fails if it gets more than this multiple of its present capacity
+    overload_window: int  # for this long
+    answer_grace: int  # how long after the client's deadline a final answer may still be sent
     min_call_interval: int  # shortest time between two calls
-    worth_per_work_unit: bool = False  # worth counts for each unit of work, not for each request
+    worth_per_work_unit: bool = False  # worth counts for each unit of work instead of each request
     worst_class_weight: float = 0.0  # weight of the worst-served class, as a multiple of that of all requests
-    max_retry_after: int = 0  # longest wait that a client respects; 0: advice does not reach clients
-    tenant_quotas_per_s: tuple[float, ...] = ()  # of the tenants: requests per second, over all balancers
-    tenant_indexes: Mapping[bytes, int] = field(
-        default_factory=dict
-    )  # their numbers, by name, where it may change
-    balancer_index: int = 0  # which of the balancers this is
-    over_quota_worth_share: float = (
-        1.0  # of a request beyond its tenant's share, as a part of its class's worth
-    )
+    max_retry_after: int = 0  # longest Retry-After that a client respects; 0: clients do not receive it
+    tenant_quotas_per_s: tuple[float, ...] = ()  # requests per second by tenant index, over all balancers
+    tenant_indexes: Mapping[bytes, int] = field(default_factory=dict)  # by tenant name, if it may change
+    balancer_index: int = 0  # which of the balancers this is, from 0
+    over_quota_worth_share: float = 1.0  # worth of a request over its tenant's quota, relative to its class
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,7 +98,7 @@
     cell: int
     kind: int
     state: ServerState
-    weight: float  # relative size as far as discovery tells; 1 where it does not
+    weight: float  # relative size as reported by discovery; 1 if unknown
     started_at: int  # clock time of its latest start; 0: long ago
 
 
@@ -110,17 +106,17 @@
 class Request:
     id: str
     class_index: int
-    deadline: int  # clock time at which the client gives up on this try
-    cost_hint: int = 0  # expected work; 0: not told
+    deadline: int  # clock time at which the client stops waiting for this try
+    cost_hint: int = 0  # expected work; 0: unknown
     is_retry: bool = False
     tenant_index: int = 0
     idempotency_key: str | None = None
-    answer_deadline: int = 0  # clock time by which its final answer has to leave; 0: the deadline
+    answer_deadline: int = 0  # clock time by which the final answer has to be sent; 0: the deadline
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What a server said of its load; None for what it did not say."""
+    """Load that a server reported; None for values that it did not report."""
 
     in_flight: float | None = None
     queued: float | None = None
@@ -133,11 +129,11 @@
 @dataclass(frozen=True, slots=True)
 class AttemptEnd:
     request_id: str
-    attempt_index: int
+    attempt_index: int  # counted from 0 in the order of the Send actions
     server_id: int
     outcome: Outcome
     latency: int
-    request_closed: bool  # the request is closed, by this or earlier
+    request_closed: bool  # the client has its final answer, from this attempt or earlier
     load_report: LoadReport | None = None
 
 
@@ -146,7 +142,7 @@
     request_id: str
     server_id: int
     timeout: int  # 0: until the client's deadline
-    start_before: int = 0  # clock time from which it may not be begun any more; 0: any time
+    start_before: int = 0  # clock time from which the attempt must not be started; 0: no limit
 
 
 @dataclass(frozen=True, slots=True)
@@ -157,7 +153,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: not done, and a retry does no harm."""
+    """Final answer: the request was not executed, or a retry is harmless."""
 
     request_id: str
     retry_after: int = 0
@@ -165,7 +161,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, nothing is said about its effect."""
+    """Final answer: the request failed; it may or may not have been executed."""
 
     request_id: str
 
@@ -178,7 +174,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Watch:
-    """Subscribe to discovery's changes."""
+    """Subscribe to the changes of discovery's list."""
 
 
 @dataclass(frozen=True, slots=True)
