--- a/dykeshift/rules.py
+++ b/dykeshift/rules.py
@@ -36,125 +36,126 @@
     Watch,
 )
 
-MIN_POOL_SAMPLE_MULTIPLE = 2  # times DRAW: the smallest part of a large fleet that one instance draws from
-POOL_OFFSET_FLEET_SHARE = (
-    0.618034  # of all servers, from one instance's pool to the next one's: any few of them lie evenly
-)
-MAX_IDLE_ATTEMPTS_OF_OTHERS = (
-    1.0  # attempts of others at a server: with more it is not idle, though none of ours is there
-)
-MIN_WINDOW_REQUESTS_PER_SERVER = (
-    10  # requests in an overload window for each server of the pool: met more seldom, it is not known
-)
-SAMPLE_SIZE = 5  # servers sampled per request: enough to find an idle one, few enough to stay a sample
-KEYED_REPEAT_SAMPLE_SIZE = 20  # servers looked at for a repeat of a keyed request, of those that drop repeats
-WAIT_INTERVAL_TARGET_SHARE = 0.1  # of the aim: how long a request with nowhere to go waits between two looks
-RETRY_AFTER_TARGET_SHARE = 0.05  # of the aim: how long a refused client is to stay away while all are let in
-QUICK_ANSWER_TARGET_SHARE = 0.5  # of the aim: an answer within this shows that the server carries what it has
-LIMIT_GROWTH_ATTEMPTS, LIMIT_CUT_FACTOR = (
-    2.0,
-    0.8,
-)  # room grows by this over the instances, who all grow at once; shrinks on failures
-ADMISSION_INCREASE_SHARE, ADMISSION_DECREASE_SHARE = (
-    0.1,
-    0.05,
-)  # for a quick answer, for a slow one: up while a third are quick
+# Names that end in _TARGET_SHARE are shares of the latency target of the request's class, and names that end
+# in _LATENCY_MULTIPLE are multiples of the usual latency of that class, unless a comment says otherwise.
+
+# ---- pool and samples ----
+
+SAMPLE_SIZE = 5  # servers per request: enough to find an idle one, few enough to remain a sample
+KEYED_REPEAT_SAMPLE_SIZE = 20  # servers considered for a repeat of a keyed request, within its dedup scope
+MIN_POOL_SAMPLE_MULTIPLE = 2  # smallest pool in a large fleet, as a multiple of SAMPLE_SIZE
+# Offset between the pools of two consecutive balancers, as a share of all ready servers. With the golden
+# ratio the pools of any few balancers are spread evenly.
+POOL_OFFSET_FLEET_SHARE = 0.618034
+# Requests per overload window for each server of the pool. With fewer, what is known about a server is
+# outdated.
+MIN_WINDOW_REQUESTS_PER_SERVER = 10
+# Servers whose learned state is kept outside the pool. In a fleet of at most this size all servers are known.
+MAX_KNOWN_SERVERS = 256
+
+# ---- idle, busy and slow servers ----
+
+# If other balancers have more attempts at a server on average, it is not idle though this one has none there.
+MAX_IDLE_ATTEMPTS_OF_OTHERS = 1.0
+# A server with a higher mean latency is not idle, even if the load comes from other balancers.
+MAX_IDLE_LATENCY_TARGET_SHARE = 0.45
+# A server in the balancer's own zone still counts as idle up to these attempts and this mean latency.
+MAX_IDLE_LOCAL_ATTEMPTS = 2
+MAX_IDLE_LOCAL_LATENCY_TARGET_SHARE = 0.3
+BUSY_UTILIZATION = 0.8  # a server that reports more than this almost always has a queue
+QUICK_ANSWER_TARGET_SHARE = 0.5  # an answer within this shows that the server can carry its present load
+# A slow attempt makes its server suspect and gets a delayed copy (section VIII of the RIQ paper).
+SLOW_ATTEMPT_LATENCY_MULTIPLE = 1.3
+# A class hangs at a server after this many consecutive failures there, or if nothing of it was answered
+# for the time of this many slow attempts.
+HANG_THRESHOLD = 2
+
+# ---- latency estimates ----
+
+MEAN_SAMPLE_WEIGHT = 0.1  # of the newest sample in a running mean: about the last twenty samples count
+SERVER_MEAN_SAMPLE_WEIGHT = 0.2  # the same for the latency of one server, which follows its last few answers
+INITIAL_LATENCY_TARGET_SHARE = 0.25  # usual latency before any answer: twice this still leaves time to wait
+MIN_LATENCY_FALL_WEIGHT = 0.3  # the minimum latency falls by this share of the distance to a quicker answer
+MIN_LATENCY_RISE_SHARE = 0.005  # and rises by this share of itself at a slower one
+
+# ---- waiting, delayed copies and retries ----
+
+WAIT_INTERVAL_TARGET_SHARE = 0.1  # time between two searches for a server for a waiting request
+MIN_TIME_LEFT_LATENCY_MULTIPLE = 2.0  # a request with less time than this to its latency target is not sent
+URGENT_LATENCY_MULTIPLE = 3.0  # with less time left the whole pool is considered and the quickest server used
+MIN_COPY_DELAY_TARGET_SHARE = 0.4  # no delayed copy before this; a second attempt still fits into the rest
+NON_IDLE_COPY_LATENCY_MULTIPLE = 4.0  # after this a delayed copy is sent though no server is idle
+RETRY_AFTER_TARGET_SHARE = 0.05  # Retry-After of a refused request while all requests are admitted
+# The timeouts of retries and first tries may differ by this share before the difference means anything.
+RETRY_TIMEOUT_TOLERANCE_SHARE = 0.05
+
+# ---- in-flight limits ----
+
+# Sum of the limits of all balancers for a server about which nothing is known yet.
+INITIAL_LIMIT_OF_ALL_BALANCERS = 4.0
+# A limit below one is a share of the time. The minimum lets a failing server be tried now and then.
+MIN_IN_FLIGHT_LIMIT = 0.05
+LIMIT_GROWTH_ATTEMPTS = 2.0  # growth summed over the balancers, since all of them grow at once
+LIMIT_CUT_FACTOR = 0.8  # on failures
+# Minimum growth of a limit below one for each quick answer, as a share of it: two or three undo a cut.
+MIN_LIMIT_REGROWTH_SHARE = 0.1
+# A server whose mean number of attempts in flight stays below this share of its limit has not shown that it
+# carries more.
+MIN_LIMIT_USE_SHARE = 0.5
+# Multiple of the minimum latency of the class. Only answers within it let a limit grow; others have queued.
+GROWTH_LATENCY_MULTIPLE = 3.0
+WARM_UP_GROWTH_LATENCY_FACTOR = 1.4  # limits also grow on slower answers while servers warm up
+OVERLOAD_GROWTH_LATENCY_REDUCTION = 0.3  # and only on quicker ones during an overload, by this share at most
+
+# ---- admission and overload ----
+
+# The share of admitted requests rises as long as a third of the answers are quick.
+ADMISSION_INCREASE_SHARE = 0.1  # for each quick answer
+ADMISSION_DECREASE_SHARE = 0.05  # for each slow answer
 MIN_ADMISSION_SHARE = 0.1  # enough to notice that answers are quick again
-MIN_LIMIT_REGROWTH_SHARE = (
-    0.1  # of a room below one, at the least, for each quick answer: two or three undo a cut
-)
-MIN_LIMIT_USE_SHARE = (
-    0.5  # of its room: a server that holds less of ours on average has not shown that it carries more
-)
-MAX_IDLE_LATENCY_TARGET_SHARE = (
-    0.45  # of the aim: a server whose answers lately took longer is not idle, whoever keeps it busy
-)
-GROWTH_LATENCY_MULTIPLE = (
-    3.0  # times the least latency: only answers within this make a room grow, others waited in line
-)
-MIN_LATENCY_FALL_WEIGHT, MIN_LATENCY_RISE_SHARE = (
-    0.3,
-    0.005,
-)  # of the way down to a quicker answer, of itself at a slower one: least latency
-SLOW_ATTEMPT_LATENCY_MULTIPLE = (
-    1.3  # times the usual latency: an attempt out for longer gets a delayed copy (paper, VIII)
-)
-INITIAL_LATENCY_TARGET_SHARE = (
-    0.25  # of the aim: usual latency until answers tell; twice it still leaves time to hold
-)
-MIN_TIME_LEFT_LATENCY_MULTIPLE = (
-    2.0  # times the usual latency: with less than this left before the aim a request is not begun
-)
-NON_IDLE_COPY_LATENCY_MULTIPLE = (
-    4.0  # times the usual latency: from then on a copy goes out though none is idle
-)
-MIN_COPY_DELAY_TARGET_SHARE = (
-    0.4  # of the aim: no delayed copy before this, a second try still fits into the rest
-)
-INITIAL_LIMIT_OF_ALL_BALANCERS = (
-    4.0  # what all instances together trust a server with before anything is known
-)
-MIN_IN_FLIGHT_LIMIT = 0.05  # below one, a share of the time: a failing server is still tried now and then
-SLOW_START_SAFETY_SHARE = (
-    0.5  # of the cold budget is used; the rest covers chance, handshakes and a small server of its kind
-)
-BUDGET_REFUND_PER_ANSWER = (
-    0.25  # of an attempt's credit, for a good answer: in all SAFETY / (1 - RETURNED) of the budget
-)
-BUDGET_LIFETIME_WINDOW_SHARE = 0.5  # of an overload window: credit with a cold server is kept no longer
-MEAN_SAMPLE_WEIGHT = 0.1  # weight of the newest sample in a running mean: about the last twenty samples count
-MAX_IDLE_LOCAL_ATTEMPTS, MAX_IDLE_LOCAL_LATENCY_TARGET_SHARE = (
-    2,
-    0.3,
-)  # ours at a near server, its pace: up to these it still counts as idle
-URGENT_LATENCY_MULTIPLE = (
-    3.0  # times the usual latency: with less than this left all are drawn and the quickest goes first
-)
-WARM_UP_GROWTH_LATENCY_FACTOR, OVERLOAD_GROWTH_LATENCY_REDUCTION = (
-    1.4,
-    0.3,
-)  # rooms grow on slower answers while servers warm up, on quicker ones in a crowd
-MIN_OVERLOAD_STEP, TOLERATED_UNPLACED_SHARE = (
-    0.02,
-    0.1,
-)  # one request's weight; part that may find no room before others wait
-OVERLOAD_MEMORY_WINDOWS, MAX_OVERLOAD_STEP = (
-    1.5,
-    0.1,
-)  # overload windows until a crowd is forgotten; the most weight for it
-BUSY_UTILIZATION = 0.8  # utilization reported: hardly ever without a queue
-SERVER_MEAN_SAMPLE_WEIGHT = 0.2  # the same for one server's pace: it follows the last few answers
-HANG_THRESHOLD = (
-    2  # failures of a class in a row at a server, or times its patience, from which it hangs there
-)
-MAX_COUNTED_CONNECT_FAILURES = 10  # connects refused in a row that still double the rest
-MAX_BACKOFF_DOUBLINGS = 4  # doublings of the aim: the longest such rest
-WATCH_RETRY_INTERVAL_SHARE = (
-    0.005  # of the longest time without asking, for each balancer: pause after a failed watch
-)
-MAX_WATCH_RETRY_PAUSE_S = (
-    2.0  # seconds: the longest pause after a failed watch; a lost call and the next one take up to 4 more
-)
-WATCH_RETRY_JITTER_SHARE = 0.98  # part of that pause that is random: all balancers may have failed at once
-RETRY_TIMEOUT_TOLERANCE_SHARE = (
-    0.05  # of the time for a first try: a retry's may differ by this without telling anything
-)
-QUOTA_BURST_S = 3.0  # seconds: what a tenant leaves of its share is kept so long for it
-SWEEP_INTERVAL_WINDOW_SHARE = (
-    0.25  # of the overload window: how often capacity is measured and forgotten servers are dropped
-)
-MAX_KNOWN_SERVERS = (
-    256  # servers whose learned state is kept outside the pool; a fleet of so many is known whole
-)
-SWEEPS_PER_LOG_REPORT = 2  # sweeps from one report in the log to the next
-MAX_LOGGED_SERVERS = 5  # servers that a report names, the worst ones; the others are counted
-LATE_OUTCOMES = (Outcome.OK, Outcome.TIMEOUT, Outcome.CANCELLED)  # ends that came too late or not at all
-NON_FAILURE_OUTCOMES = (
-    Outcome.OK,
-    Outcome.CANCELLED,
-    Outcome.NOT_SENT,
-)  # ends that are no failure of the server
-ANSWER_OUTCOMES = (Outcome.OK, Outcome.ERROR, Outcome.FULL)  # ends that came from the server itself
+TOLERATED_UNPLACED_SHARE = 0.1  # of the requests may find no server before the overload level rises
+OVERLOAD_MEMORY_WINDOWS = 1.5  # overload windows until the overload level is back at zero
+MIN_OVERLOAD_STEP = 0.02  # weight of one request in the overload level
+MAX_OVERLOAD_STEP = 0.1
+
+# ---- back-off from failing servers ----
+
+MAX_BACKOFF_DOUBLINGS = 4  # doublings of the latency target in the longest back-off
+MAX_COUNTED_CONNECT_FAILURES = 10  # consecutive failed connects that still double the back-off
+
+# ---- slow start ----
+
+# Share of the allowed load of a cold server that is used. The rest covers random variation, handshakes and
+# a server that is small for its kind.
+SLOW_START_SAFETY_SHARE = 0.5
+# Refund for a good answer, in attempts. The total load is at most
+# SLOW_START_SAFETY_SHARE / (1 - BUDGET_REFUND_PER_ANSWER) of the allowed load.
+BUDGET_REFUND_PER_ANSWER = 0.25
+BUDGET_LIFETIME_WINDOW_SHARE = 0.5  # unused budget is kept for at most this share of an overload window
+
+# ---- discovery ----
+
+# Pause after a failed watch for each balancer, as a share of the longest watch interval.
+WATCH_RETRY_INTERVAL_SHARE = 0.005
+MAX_WATCH_RETRY_PAUSE_S = 2.0  # a lost call and the next one take up to 4 s more
+WATCH_RETRY_JITTER_SHARE = 0.98  # random share of the pause: all balancers may have failed at once
+
+# ---- tenant quotas ----
+
+QUOTA_BURST_S = 3.0  # the unused quota of this time can be used later
+
+# ---- sweeps and log ----
+
+# Share of the overload window between two sweeps, which measure the capacity and forget unused servers.
+SWEEP_INTERVAL_WINDOW_SHARE = 0.25
+SWEEPS_PER_LOG_REPORT = 2
+MAX_LOGGED_SERVERS = 5  # the worst servers are listed, the others only counted
+
+# ---- outcomes of attempts ----
+
+LATE_OUTCOMES = (Outcome.OK, Outcome.TIMEOUT, Outcome.CANCELLED)  # answered late or not at all
+NON_FAILURE_OUTCOMES = (Outcome.OK, Outcome.CANCELLED, Outcome.NOT_SENT)  # not a failure of the server
+ANSWER_OUTCOMES = (Outcome.OK, Outcome.ERROR, Outcome.FULL)  # answers of the server itself
 
 
 @dataclass(slots=True)
