--- a/dykeshift/node/discovery.py
+++ b/dykeshift/node/discovery.py
@@ -1,4 +1,9 @@
-"""The list of upstreams: the one known from before, the whole one, and the watch on its changes."""
+"""The watch on the server list: a known list from before the start, a full list, and then its changes.
+
+There are two modes. In the ask mode every call costs discovery capacity that all balancers share, and a
+watch starts only when the decision module asks for it. In the push mode an agent on this machine is
+watched all the time, at no cost.
+"""
 
 from __future__ import annotations
 
@@ -15,8 +20,8 @@
 from dykeshift.node.listing import (
     FindServer,
     ListedServer,
-    ServerListing,
     ListReader,
+    ServerListing,
     ServerRow,
     decode_text,
     find_no_server,
@@ -24,31 +29,38 @@
 
 log = logging.getLogger(__name__)
 
-# How long a watch may wait at discovery: short, so that one that has fallen silent shows within two
-# seconds. Going on from the last answer is no new call, and no work for discovery.
+# How long discovery may hold a long poll. It is short so that a watch which gets no response is noticed
+# within two seconds. Continuing from the last response does not count as a new call and costs discovery
+# no work.
 LONG_POLL_MS = 1_000
-LONG_POLL_GRACE_S = 1.0  # seconds more until a watch that said nothing counts as failed
+LONG_POLL_GRACE_S = 1.0  # time beyond the hold after which a call has failed
 MAX_LIST_BYTES = 4 * 1024 * 1024
-YIELDING_READ_SHARE = (
-    0.4  # of the drain grace: while a list is read for longer, nothing goes out by the old one
-)
-# Of the drain grace, for an agent on this machine: it answers a call that it need not hold at once, or is
-# silent, and is asked again at no cost. Both together leave time to stop sending.
+
+# Shares of the drain grace, within which requests to a draining server have to stop.
+# A list is read with pauses for other work for this long. After that it is read without pauses, so that no
+# more requests are sent by the old list.
+YIELDING_READ_SHARE = 0.4
+# Push mode: the agent responds at once to a call that it need not hold, or not at all, and asking it again
+# costs nothing. Both shares together leave time to stop sending.
 PUSH_SILENCE_SHARE = 0.4
 PUSH_RETRY_SHARE = 0.2
-PUSH_RESPONSE_TIMEOUT_S = (
-    2.0  # seconds: the longest that its answer may take in all while bytes of it go on coming
-)
 
+PUSH_RESPONSE_TIMEOUT_S = 2.0  # for the whole response, while its data keeps arriving
+
+# Applies a list to the balancer; returns False if the decision module failed over it.
 ApplyList = Callable[[ListKind, list[ListedServer]], bool]
 
 
 class UnusableResponse(ConnectionError):
-    """A call was answered, with no list."""
+    """The response to a call has an error status or contains no valid list."""
 
 
 class DiscoveryWatch:
-    """Watches while told to; whatever goes wrong is reported once and ends the watch."""
+    """Watches the server list at discovery by long polls.
+
+    A failed call ends the watch and is reported once to `on_failure`; `start` starts it again. In the push
+    mode it starts again by itself.
+    """
 
     def __init__(
         self,
@@ -69,40 +81,41 @@
         self.apply_list = apply_list
         self.on_failure = on_failure
         self.find_server = find_server
-        self.has_servers = False  # there are servers from an earlier list, to which requests go
-        self.generation: int | None = None  # None: no list yet, so the whole one is asked for
-        self.last_call_failed = False  # the last call failed: the next one is not held
-        self.call_finished = asyncio.Event()  # a call has come to its end, be it with nothing
+        self.has_servers = False  # an earlier list has servers, so requests are being sent
+        self.generation: int | None = None  # None: the full list is requested next
+        self.last_call_failed = False  # in the push mode the next call is not held then
+        self.call_finished = asyncio.Event()  # set once any call has ended, also a failed one
         self.watch_task: asyncio.Task[None] | None = None
 
     def apply_known_list(self, known: ServerListing[ServerRow] | None) -> None:
-        """The list from before the start, used up by this: it may be old, and it may be unsound or missing.
+        """Apply the list from before the start, and consume it.
 
-        It serves until discovery answers. Where lists are pushed, the whole list is asked for all the
-        same: its generation may be another discovery's, and changes from there on would hide what changed
-        before. Where they are asked for, each call takes a share of what discovery can do for all, and
-        one that goes on from this generation is the only one that a start needs.
+        The list may be old, invalid or missing. It is used until discovery responds. In the push mode the
+        full list is requested all the same: the known list's generation may be that of another discovery,
+        and changes since that generation would not include what changed before. In the ask mode each call
+        takes a share of what discovery can do for all balancers, and a long poll that continues from this
+        generation is the only call that a start needs.
         """
         if known is None:
             return
         self.has_servers = bool(known.servers)
         rows, servers = known.servers, list[ListedServer]()
         rows.reverse()
-        while rows:  # each is let go as it is converted: no list is held whole in both forms
+        while rows:  # frees each row as it is converted, so that the list is never held in both forms
             servers.append(self.reader.convert(rows.pop()))
         self.apply_list(ListKind.CACHED, servers)
         if not self.is_pushed:
             self.generation = known.generation
 
     def start(self) -> None:
-        """Begin a watch, unless one is on: the watch goes on by itself from answer to answer."""
+        """Start the watch, unless it is running; it continues by itself after each response."""
         if self.watch_task is None or self.watch_task.done():
             self.watch_task = self.loop.create_task(self._run())
 
     def change_address(self, address: Address) -> None:
-        """Leave for another discovery: its whole list comes next, as its generations need not compare.
+        """Change to another discovery and request its full list, as its generations may not be comparable.
 
-        The watch that this ends has not failed, and is not reported so.
+        The watch on the old discovery ends without being reported as failed.
         """
         self.address, self.generation = address, None
         if self.watch_task is not None:
@@ -117,47 +130,51 @@
             while True:
                 response = await self._call_discovery(client)
                 if not await self._apply_response(response):
-                    raise UnusableResponse(f"status {response.status}, or unsound")
+                    raise UnusableResponse(f"status {response.status}, or an invalid list")
                 self._on_call_succeeded()
         except (OSError, TimeoutError) as exc:
             if not self.last_call_failed:
-                log.warning("the watch is lost: %s", str(exc) or "silent")
+                log.warning("the discovery watch fails: %s", str(exc) or "no response")
             self.last_call_failed = True
             failure = ListKind.FAILED if isinstance(exc, UnusableResponse) else ListKind.INTERRUPTED
-        finally:  # its own connection alone: after a move another watch has one of its own
+        finally:  # closes only its own connection: after a change of address another watch is running
             client.close()
             self.call_finished.set()
         self.watch_task = None
         self.on_failure(failure)
-        if self.is_pushed:  # the module does not ask where lists are pushed
+        if self.is_pushed:  # the decision module asks for a watch only in the ask mode
             self.loop.call_later(PUSH_RETRY_SHARE * self.drain_grace_s, self.start)
 
     async def _call_discovery(self, client: HttpClient) -> Response:
-        """One call, held at discovery where it has a list to go on from.
+        """Call discovery once; the call is held there if there is a generation to continue from.
 
-        Where lists are pushed, an agent that was lost is asked for what it has until it answers: what
-        it hears once it is back counts as told at once, and a held call may be lost on it.
+        In the push mode, after a failure, the agent is called without a hold until it responds. What it
+        learns once it works again counts as delivered to this balancer at once, and a held call may get
+        no response.
         """
-        path, hold = "/v1/endpoints", 0
+        path, hold_ms = "/v1/endpoints", 0
         if self.generation is not None:
-            hold = 0 if self.is_pushed and self.last_call_failed else LONG_POLL_MS
-            path += f"?from={self.generation}&hold_ms={hold}"
-        if self.is_pushed and not hold:
+            hold_ms = 0 if self.is_pushed and self.last_call_failed else LONG_POLL_MS
+            path += f"?from={self.generation}&hold_ms={hold_ms}"
+        if self.is_pushed and not hold_ms:
             return await client.call(
                 path, PUSH_RESPONSE_TIMEOUT_S, max_silence_s=PUSH_SILENCE_SHARE * self.drain_grace_s
             )
-        return await client.call(path, hold / 1000 + LONG_POLL_GRACE_S)
+        return await client.call(path, hold_ms / 1000 + LONG_POLL_GRACE_S)
 
     def _on_call_succeeded(self) -> None:
         if self.last_call_failed:
-            log.info("the watch is back")
+            log.info("the discovery watch works again")
         self.last_call_failed = False
         self.call_finished.set()
 
     async def _apply_response(self, response: Response) -> bool:
-        """Take over an update, unless any part of it is unsound.
+        """Apply the list in the response; return False if it is unusable.
+
+        A list is unusable if any part of it is invalid, or if the decision module failed over it.
 
-        A move that comes while it is read cancels it: nothing of it is applied after newer news.
+        A change of the address while the list is being read cancels the task, so that the list is not
+        applied after that of the other discovery.
         """
         if response.status != 200:
             return False
@@ -167,20 +184,27 @@
                 decode_text(response.body), time.monotonic() + yield_for_s, self.find_server
             )
         except ValueError as exc:
-            log.warning("an update from discovery is dropped: %s", exc)
+            log.warning("ignoring an invalid list from discovery: %s", exc)
             return False
         return self._apply_listing(listing)
 
     def _apply_listing(self, listing: ServerListing[ListedServer]) -> bool:
         generation, is_full = listing.generation, listing.is_full
         if not is_full and self.generation is not None and generation < self.generation:
-            log.warning("generation %d after %d: another discovery's", generation, self.generation)
-            self.generation = None  # the whole list is asked for next
+            log.warning(
+                "discovery sent generation %d after %d; requesting the full list", generation, self.generation
+            )
+            self.generation = None
             return True
         if is_full or listing.servers:
-            log.info("%s %d: %d servers", "list" if is_full else "change", generation, len(listing.servers))
+            log.info(
+                "received %s %d: %d servers",
+                "list" if is_full else "change",
+                generation,
+                len(listing.servers),
+            )
         self.has_servers = self.has_servers or bool(listing.servers)
-        sound = self.apply_list(ListKind.FULL if is_full else ListKind.DELTA, listing.servers)
-        # What the module failed over it may hold in part: the whole list is asked for next.
-        self.generation = generation if sound else None
-        return sound
+        is_applied = self.apply_list(ListKind.FULL if is_full else ListKind.DELTA, listing.servers)
+        # After a failure the decision module may hold part of the list, so the full list is requested.
+        self.generation = generation if is_applied else None
+        return is_applied
--- a/tests/node/test_standing_terms.py
+++ b/tests/node/test_standing_terms.py
@@ -520,7 +520,7 @@
         async with program(tmp_path, given, descriptors) as balancer:
             await wait_until(lambda: discovery.applied(1))
             discovery.down()
-            await wait_until(lambda: balancer.has_told("the watch is lost"))
+            await wait_until(lambda: balancer.has_told("the discovery watch fails"))
             clients = IdleClients(port, 2 * descriptors)
             try:
                 await wait_until(lambda: clients.shut > descriptors)  # more than it holds at a time
