--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -1,4 +1,4 @@
-"""The list: what is asked, what is taken over, and what a broken call or update does."""
+"""The discovery watch: requested and applied lists, failed calls and invalid lists."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from dykeshift.interface import Action, ListKind, ServerListUpdate, ServerState
 from dykeshift.node import discovery as discovery_module
 from dykeshift.node.connection import Connection
-from dykeshift.node.discovery import LONG_POLL_GRACE_S, LONG_POLL_MS, PUSH_SILENCE_SHARE, PUSH_RETRY_SHARE
-from dykeshift.node.listing import ListReader, server_id_of, parse_row
+from dykeshift.node.discovery import LONG_POLL_GRACE_S, LONG_POLL_MS, PUSH_RETRY_SHARE, PUSH_SILENCE_SHARE
+from dykeshift.node.listing import ListReader, parse_row, server_id_of
 from tests.node.stubs import (
     Handler,
     Message,
@@ -33,35 +33,35 @@
 )
 
 
-def listen(balancer: RunningBalancer) -> list[ServerListUpdate]:
-    """All lists that reach the module from here on."""
-    heard: list[ServerListUpdate] = []
+def record_updates(balancer: RunningBalancer) -> list[ServerListUpdate]:
+    """Return a list to which every update that reaches the decision module from now on is added."""
+    updates: list[ServerListUpdate] = []
     module = balancer.frontend.driver.decision_module
-    told = module.on_list
+    on_list_before = module.on_list
 
     def on_list(now: int, update: ServerListUpdate) -> list[Action]:
-        heard.append(update)
-        return told(now, update)
+        updates.append(update)
+        return on_list_before(now, update)
 
     module.on_list = on_list  # type: ignore[method-assign]
-    return heard
+    return updates
 
 
-def test_a_watch_goes_on_from_each_answer() -> None:
+def test_watch_continues_from_the_generation_of_each_response() -> None:
     async def main() -> None:
         old, new = (
             await StubServer(responds_with(http_response(b"old"))).start(),
             await StubServer(responds_with(http_response(b"new"))).start(),
         )
         async with running_balancer(old) as balancer:
-            registry = balancer.discovery
-            await wait_until(lambda: len(registry.paths) == 1)
-            assert registry.paths[0].startswith("/v1/endpoints?from=1&hold_ms=")
-            registry.queue_json(
+            discovery = balancer.discovery
+            await wait_until(lambda: len(discovery.paths) == 1)
+            assert discovery.paths[0].startswith("/v1/endpoints?from=1&hold_ms=")
+            discovery.queue_json(
                 listing(5, False, instance("s0", old.address, "leaving"), instance("s1", new.address))
             )
-            await wait_until(lambda: len(registry.paths) == 2)
-            assert registry.paths[1].startswith("/v1/endpoints?from=5&hold_ms=")
+            await wait_until(lambda: len(discovery.paths) == 2)
+            assert discovery.paths[1].startswith("/v1/endpoints?from=5&hold_ms=")
             for n in range(6):
                 assert (await balancer.fetch(http_request(request_id=f"r{n}"))).body == b"new"
             assert not old.requests
@@ -69,7 +69,7 @@
     run(main())
 
 
-def test_a_whole_list_removes_who_is_not_on_it() -> None:
+def test_full_list_removes_servers_that_are_not_in_it() -> None:
     async def main() -> None:
         old, new = (
             await StubServer(responds_with(http_response(b"old"))).start(),
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize("indent", [None, 8])
-def test_a_very_large_list_is_taken_over_however_it_is_written(indent: int | None) -> None:
+def test_very_large_list_is_applied_in_any_json_layout(indent: int | None) -> None:
     async def main() -> None:
         old, new = (
             await StubServer(responds_with(http_response(b"old"))).start(),
@@ -95,35 +95,35 @@
         )
         async with running_balancer(old) as balancer:
             gone = (instance(f"g{n}", ("127.0.0.1", 9), "leaving") for n in range(5000))
-            whole = listing(2, True, *gone, instance("s1", new.address))
-            balancer.discovery.responses.put_nowait(http_response(json.dumps(whole, indent=indent).encode()))
+            full_list = listing(2, True, *gone, instance("s1", new.address))
+            balancer.discovery.responses.put_nowait(
+                http_response(json.dumps(full_list, indent=indent).encode())
+            )
             await wait_until(lambda: balancer.frontend.driver.pool.ready_servers() == {server_id_of("s1")})
             assert (await balancer.fetch(http_request())).body == b"new"
 
     run(main())
 
 
-def test_a_restart_at_a_new_address_is_followed() -> None:
+def test_restart_at_a_new_address_is_followed() -> None:
     async def main() -> None:
         old, new = (
             await StubServer(responds_with(http_response(b"old"))).start(),
             await StubServer(responds_with(http_response(b"new"))).start(),
         )
         given = settings()
-        given["obligations"]["coldNs"] = (
-            1_000_000  # warm at once, so that nothing but the address matters here
-        )
+        given["obligations"]["coldNs"] = 1_000_000  # no slow start, so that only the address matters
         async with running_balancer(old, settings=given) as balancer:
             assert (await balancer.fetch(http_request(request_id="r0"))).body == b"old"
             started = time.time_ns() // 1_000_000 - 1000
             balancer.discovery.queue_json(listing(2, False, instance("s0", new.address, startedAtMs=started)))
-            await wait_until(lambda: old.closed_connections == 1)  # its warm connection is of no use any more
+            await wait_until(lambda: old.closed_connections == 1)  # its idle connection is closed
             assert (await balancer.fetch(http_request(request_id="r1"))).body == b"new"
 
     run(main())
 
 
-BROKEN: list[Any] = [
+INVALID_LISTS: list[Any] = [
     [],
     {},
     None,
@@ -147,7 +147,7 @@
         *(
             (reply, ListKind.FAILED)
             for reply in (
-                *(http_response(json.dumps(b).encode()) for b in BROKEN),
+                *(http_response(json.dumps(b).encode()) for b in INVALID_LISTS),
                 http_response(b"{"),
                 http_response(b"[" * 60_000),
                 http_response(b"", "503 Service Unavailable"),
@@ -157,16 +157,16 @@
         (b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n", ListKind.INTERRUPTED),
     ],
 )
-def test_a_broken_update_is_dropped_told_as_failed_and_asked_for_again(reply: bytes, kind: ListKind) -> None:
+def test_invalid_list_is_ignored_reported_and_requested_again(reply: bytes, kind: ListKind) -> None:
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
-        changed = settings()
-        changed["obligations"]["askEveryNs"] = 100_000_000
-        async with running_balancer(stub, settings=changed) as balancer:
-            heard = listen(balancer)
+        given = settings()
+        given["obligations"]["askEveryNs"] = 100_000_000
+        async with running_balancer(stub, settings=given) as balancer:
+            updates = record_updates(balancer)
             balancer.discovery.responses.put_nowait(reply)
-            await wait_until(lambda: bool(heard))
-            assert heard[0].kind is kind
+            await wait_until(lambda: bool(updates))
+            assert updates[0].kind is kind
             await wait_until(lambda: len(balancer.discovery.paths) == 2)
             assert "from=1&" in balancer.discovery.paths[1]
             assert (await balancer.fetch(http_request())).body == b"done"
@@ -174,20 +174,20 @@
     run(main())
 
 
-def test_a_list_that_the_module_fails_over_is_asked_for_whole() -> None:
+def test_full_list_is_requested_after_the_decision_module_failed_over_a_change() -> None:
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
-        changed = settings()
-        changed["obligations"]["askEveryNs"] = 100_000_000
-        async with running_balancer(stub, settings=changed) as balancer:
+        given = settings()
+        given["obligations"]["askEveryNs"] = 100_000_000
+        async with running_balancer(stub, settings=given) as balancer:
             module = balancer.frontend.driver.decision_module
-            sound = module.on_list
+            on_list_before = module.on_list
 
-            def faulty(now: int, update: ServerListUpdate) -> list[Action]:
-                module.on_list = sound  # type: ignore[method-assign]
+            def raise_once(now: int, update: ServerListUpdate) -> list[Action]:
+                module.on_list = on_list_before  # type: ignore[method-assign]
                 raise RuntimeError("planted")
 
-            module.on_list = faulty  # type: ignore[method-assign]
+            module.on_list = raise_once  # type: ignore[method-assign]
             balancer.discovery.queue_json(listing(2, False, instance("s0", stub.address, "leaving")))
             await wait_until(lambda: len(balancer.discovery.paths) == 2)
             assert balancer.discovery.paths[1] == "/v1/endpoints"
@@ -196,7 +196,7 @@
 
 
 @pytest.mark.parametrize("known", [None, {}, [], {"generation": 1, "reset": True, "instances": [{}]}])
-def test_without_a_sound_known_list_the_whole_one_is_asked_for(known: Any) -> None:
+def test_full_list_is_requested_without_a_valid_known_list(known: Any) -> None:
     async def main() -> None:
         async with running_balancer(known=known) as balancer:
             await wait_until(lambda: len(balancer.discovery.paths) == 1)
@@ -205,11 +205,12 @@
     run(main())
 
 
-def test_the_list_known_at_the_start_hides_no_change() -> None:
-    """It may be another discovery's, with a generation of its own: nothing newer would ever come.
+def test_known_list_of_another_discovery_does_not_hide_changes() -> None:
+    """The known list's generation may be higher than any that the current discovery will send.
 
-    Where lists are asked for, the first call is a watch all the same: a second one for each balancer that
-    starts filled discovery's queue, and what was refused there had no news when servers began to drain.
+    In the ask mode the first call is a long poll from that generation all the same. A second call by each
+    starting balancer filled discovery's queue, and balancers whose calls were refused did not learn that
+    servers had has_started to drain.
     """
 
     async def main() -> None:
@@ -221,7 +222,7 @@
         async with running_balancer(discovery_answers=False, known=known) as balancer:
             assert (
                 await balancer.fetch(http_request(request_id="r0"))
-            ).body == b"old"  # while discovery says nothing
+            ).body == b"old"  # before discovery responds
             paths = balancer.discovery.paths
             await wait_until(lambda: len(paths) == 1)
             assert paths[0] == f"/v1/endpoints?from=900&hold_ms={LONG_POLL_MS}"
@@ -238,31 +239,35 @@
     run(main())
 
 
-def test_where_lists_are_pushed_nobody_is_served_before_the_agent_was_asked() -> None:
-    """What the agent has counts as told from a process's first moment: loading alone took a short grace."""
+def test_no_request_is_served_before_the_agent_responds_in_push_mode() -> None:
+    """What the agent has counts as told to the balancer from the start of its process.
+
+    Loading the program alone took longer than a short drain grace, so that requests still went to
+    draining servers.
+    """
 
     async def main() -> None:
         old, new = (
             await StubServer(responds_with(http_response(b"old"))).start(),
             await StubServer(responds_with(http_response(b"new"))).start(),
         )
-        pushed = settings(discovery="push")
-        pushed["obligations"]["drainGraceNs"] = 20_000_000_000  # the agent is waited for as long as it takes
-        registry = await StubLongPollServer().start()
-        begun = asyncio.Event()
+        given = settings(discovery="push")
+        given["obligations"]["drainGraceNs"] = 20_000_000_000  # long enough for the agent to respond
+        discovery = await StubLongPollServer().start()
+        has_started = asyncio.Event()
 
         async def serve() -> Message:
-            known = listing(900, True, instance("s0", old.address))  # another discovery's
+            known = listing(900, True, instance("s0", old.address))  # from another discovery
             async with running_balancer(
-                discovery_answers=False, settings=pushed, known=known, discovery="%s:%d" % registry.address
+                discovery_answers=False, settings=given, known=known, discovery="%s:%d" % discovery.address
             ) as balancer:
-                begun.set()
+                has_started.set()
                 return await balancer.fetch(http_request())
 
         served = asyncio.create_task(serve())
-        await wait_until(lambda: registry.paths == ["/v1/endpoints"])
-        assert not begun.is_set()
-        registry.queue_json(
+        await wait_until(lambda: discovery.paths == ["/v1/endpoints"])
+        assert not has_started.is_set()
+        discovery.queue_json(
             listing(7, True, instance("s0", old.address, "leaving"), instance("s1", new.address))
         )
         assert (await served).body == b"new"
@@ -271,26 +276,26 @@
 
 
 @pytest.mark.parametrize("reply", [None, http_response(b"", "503 Service Unavailable"), http_response(b"{")])
-def test_an_agent_that_tells_nothing_does_not_keep_the_program_from_starting(reply: bytes | None) -> None:
+def test_balancer_starts_without_a_list_from_the_agent(reply: bytes | None) -> None:
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
-        registry = await StubLongPollServer().start()
+        discovery = await StubLongPollServer().start()
         if reply is not None:
-            registry.responses.put_nowait(reply)
+            discovery.responses.put_nowait(reply)
         async with running_balancer(
             stub,
             discovery_answers=False,
             settings=settings(discovery="push"),
-            discovery="%s:%d" % registry.address,
+            discovery="%s:%d" % discovery.address,
         ) as balancer:
-            assert registry.paths[0] == "/v1/endpoints"
+            assert discovery.paths[0] == "/v1/endpoints"
             assert (await balancer.fetch(http_request())).body == b"done"
 
     run(main())
 
 
-def arriving_slowly(body: bytes, parts: int, go_on: Callable[[int], Awaitable[None]]) -> Handler:
-    """Answers each call in parts; `go_on` is waited for behind each, called with its number."""
+def responds_in_parts(body: bytes, parts: int, after_part: Callable[[int], Awaitable[None]]) -> Handler:
+    """Respond to each request in parts; `after_part` is awaited after each, with its number."""
 
     async def handle(_: StubServer, __: Message, writer: asyncio.StreamWriter) -> None:
         data = http_response(body)
@@ -298,41 +303,43 @@
         for number in range(parts):
             writer.write(data[number * size : (number + 1) * size])
             await writer.drain()
-            await go_on(number)
+            await after_part(number)
 
     return handle
 
 
-def paths_of(agent: StubServer) -> list[str]:
+def request_paths(agent: StubServer) -> list[str]:
     return [message.start_line.split()[1] for message in agent.requests]
 
 
-def pushed_with_drain_grace(seconds: float) -> dict[str, Any]:
-    changed = settings(discovery="push")
-    changed["obligations"]["drainGraceNs"] = int(seconds * 1e9)
-    return changed
+def push_settings(seconds: float) -> dict[str, Any]:
+    given = settings(discovery="push")
+    given["obligations"]["drainGraceNs"] = int(seconds * 1e9)
+    return given
 
 
-def test_a_list_that_arrives_for_longer_than_silence_is_borne_is_not_asked_for_again() -> None:
+def test_list_that_arrives_slowly_is_not_requested_again() -> None:
     grace, parts = 1.0, 30
 
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
         rows = [instance(f"l{n}", ("127.0.0.1", 9), "leaving") for n in range(7000)]
-        whole = json.dumps(listing(7, True, instance("s0", stub.address), *rows)).encode()
-        assert len(whole) > 1_000_000
+        full_list = json.dumps(listing(7, True, instance("s0", stub.address), *rows)).encode()
+        assert len(full_list) > 1_000_000
 
-        async def go_on(_: int) -> None:
-            await asyncio.sleep(2 * PUSH_SILENCE_SHARE * grace / parts)  # a small part of what is borne
+        async def after_part(_: int) -> None:
+            await asyncio.sleep(
+                2 * PUSH_SILENCE_SHARE * grace / parts
+            )  # each pause is much shorter than the longest silence
 
-        agent = await StubServer(arriving_slowly(whole, parts, go_on)).start()
+        agent = await StubServer(responds_in_parts(full_list, parts, after_part)).start()
         async with running_balancer(
             discovery_answers=False,
-            settings=pushed_with_drain_grace(grace),
+            settings=push_settings(grace),
             discovery="%s:%d" % agent.address,
         ) as balancer:
             await wait_until(lambda: len(agent.requests) > 1)
-            first, second = paths_of(agent)[:2]
+            first, second = request_paths(agent)[:2]
             assert first == "/v1/endpoints" and second.startswith("/v1/endpoints?from=7&")
             assert balancer.frontend.driver.pool.ready_servers() == {server_id_of("s0")}
             assert (await balancer.fetch(http_request())).body == b"done"
@@ -340,90 +347,91 @@
     run(main())
 
 
-def test_bytes_that_a_busy_loop_has_not_read_yet_are_no_silence(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The last part of the answer is in the socket by the time at which the rest counts as silence."""
-    looks: list[bool] = []
-    look = Connection.has_unread_input
+def test_data_that_a_busy_loop_has_not_read_yet_is_not_silence(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The last part of the response is in the socket, unread, when the longest silence has passed."""
+    calls_before_read: list[bool] = []
+    has_unread_input = Connection.has_unread_input
 
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
-        whole = json.dumps(listing(7, True, instance("s0", stub.address))).encode()
+        full_list = json.dumps(listing(7, True, instance("s0", stub.address))).encode()
         last = asyncio.Event()
 
-        async def go_on(number: int) -> None:
+        async def after_part(number: int) -> None:
             if number == 0:
                 await last.wait()
 
-        def look_after_the_last_part_came(connection: Connection) -> bool:
+        def report_unread_input(connection: Connection) -> bool:
             if connection.handler is None:
-                return look(connection)
+                return has_unread_input(connection)
             last.set()
-            looks.append(True)
-            return len(looks) < 1000  # until it is read, and no longer than that takes
+            calls_before_read.append(True)
+            return len(calls_before_read) < 1000  # at most until the data has been read
 
-        monkeypatch.setattr(Connection, "has_unread_input", look_after_the_last_part_came)
-        agent = await StubServer(arriving_slowly(whole, 2, go_on)).start()
+        monkeypatch.setattr(Connection, "has_unread_input", report_unread_input)
+        agent = await StubServer(responds_in_parts(full_list, 2, after_part)).start()
         async with running_balancer(
-            discovery_answers=False, settings=pushed_with_drain_grace(0.15), discovery="%s:%d" % agent.address
+            discovery_answers=False, settings=push_settings(0.15), discovery="%s:%d" % agent.address
         ) as balancer:
             assert balancer.frontend.driver.pool.ready_servers() == {server_id_of("s0")}
-            assert paths_of(agent)[:1] == ["/v1/endpoints"] and looks
+            assert request_paths(agent)[:1] == ["/v1/endpoints"] and calls_before_read
 
     run(main())
 
 
-@pytest.mark.parametrize("goes_on", [False, True], ids=["silent", "without end"])
-def test_an_answer_that_does_not_become_whole_is_given_up(
-    goes_on: bool, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """Silent behind its first half, for as long as silence is borne; one byte after the other, in all."""
-    if goes_on:
+@pytest.mark.parametrize("trickles", [False, True], ids=["silent", "one byte at a time"])
+def test_call_ends_if_the_response_stays_incomplete(trickles: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The agent falls silent after half the response, or keeps sending single bytes.
+
+    The first ends by the longest silence, the second by the timeout for the whole response.
+    """
+    if trickles:
         monkeypatch.setattr(discovery_module, "PUSH_RESPONSE_TIMEOUT_S", 0.1)
 
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
-        whole = json.dumps(listing(7, True, instance("s0", stub.address))).encode()
+        full_list = json.dumps(listing(7, True, instance("s0", stub.address))).encode()
         calls = 0
 
-        async def go_on(number: int) -> None:
+        async def after_part(number: int) -> None:
             nonlocal calls
             calls += number == 0
             if calls == 1:
-                await asyncio.sleep(0.01 if goes_on else 3600)
+                await asyncio.sleep(0.01 if trickles else 3600)
 
-        agent = await StubServer(arriving_slowly(whole, 100 if goes_on else 2, go_on)).start()
+        agent = await StubServer(responds_in_parts(full_list, 100 if trickles else 2, after_part)).start()
         async with running_balancer(
             discovery_answers=False,
-            settings=pushed_with_drain_grace(60 if goes_on else 0.15),
+            settings=push_settings(60 if trickles else 0.15),
             discovery="%s:%d" % agent.address,
         ) as balancer:
-            if goes_on:  # the next call would come only after a part of the drain grace
+            if trickles:  # otherwise the next call comes only after PUSH_RETRY_SHARE of the drain grace
                 balancer.frontend.driver.start_watch()
             await wait_until(lambda: balancer.frontend.driver.pool.ready_servers() == {server_id_of("s0")})
-            assert paths_of(agent)[:2] == ["/v1/endpoints"] * 2
+            assert request_paths(agent)[:2] == ["/v1/endpoints"] * 2
 
     run(main())
 
 
-def test_a_watch_that_falls_silent_is_begun_anew_before_the_list_is_old() -> None:
-    """A watch was waited for through 22 s, while servers went that the list still showed."""
+def test_watch_without_a_response_is_started_again_within_seconds() -> None:
+    """A balancer waited 22 s for a silent watch, while servers that were still in its list went away."""
 
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
         async with running_balancer(stub) as balancer:
-            heard = listen(balancer)
+            updates = record_updates(balancer)
             began = time.monotonic()
-            await wait_until(lambda: len(balancer.discovery.paths) == 2)  # the first got no answer at all
+            await wait_until(lambda: len(balancer.discovery.paths) == 2)  # the first call got no response
             assert time.monotonic() - began < 10
-            assert [update.kind for update in heard] == [ListKind.INTERRUPTED]
+            assert [update.kind for update in updates] == [ListKind.INTERRUPTED]
             hold = int(balancer.discovery.paths[0].partition("hold_ms=")[2])
-            assert hold / 1000 + LONG_POLL_GRACE_S <= 4.0  # what there is to tell counts as told soon after
+            assert hold / 1000 + LONG_POLL_GRACE_S <= 4.0  # a change counts as told soon after
 
     run(main())
 
 
-def test_an_agent_that_fell_silent_is_asked_at_short_intervals_until_it_answers() -> None:
-    """What it hears when it is back counts as told at once: no held call may be waited for by then."""
+def test_silent_agent_is_called_at_short_intervals_until_it_responds() -> None:
+    """A change that the agent learns once it works again counts as told at once, so no call may be held."""
 
     async def main() -> None:
         stub = await StubServer(responds_with(http_response(b"old"))).start()
@@ -431,9 +439,9 @@
         async with running_balancer(stub, settings=settings(discovery="push")) as balancer:
             paths = balancer.discovery.paths
             await wait_until(lambda: len(paths) == 5)
-            assert PUSH_SILENCE_SHARE + PUSH_RETRY_SHARE < 1  # of the time in which sends have to stop
+            assert PUSH_SILENCE_SHARE + PUSH_RETRY_SHARE < 1  # of the drain grace
             assert all(path.endswith("&hold_ms=0") for path in paths[1:])
-            # Back. Its first answer goes out on a call that nobody waits for any more.
+            # The agent works again. Its first responses go to calls that have already ended.
             for _ in range(2 * len(paths)):
                 balancer.discovery.queue_json(
                     listing(2, False, instance("s0", stub.address, "leaving"), instance("s1", other.address))
@@ -445,21 +453,21 @@
     run(main())
 
 
-def test_pushed_lists_are_watched_without_being_asked_to() -> None:
+def test_push_mode_watches_without_a_request_from_the_decision_module() -> None:
     async def main() -> None:
         async with running_balancer(settings=settings(discovery="push")) as balancer:
             await wait_until(lambda: len(balancer.discovery.paths) == 1)
             balancer.discovery.responses.put_nowait(http_response(b"", "503 Service Unavailable"))
-            await wait_until(lambda: len(balancer.discovery.paths) == 2)  # an agent is simply asked again
+            await wait_until(lambda: len(balancer.discovery.paths) == 2)  # called again by itself
 
     run(main())
 
 
-def test_starts_are_told_on_the_modules_clock() -> None:
+def test_start_times_are_converted_to_the_monotonic_clock() -> None:
     reader = ListReader(("a",), ("m",))
-    began = time.time_ns() // 1_000_000 - 3000
+    started_ms = time.time_ns() // 1_000_000 - 3000
     first, second = (
-        instance("s0", ("127.0.0.1", 1), startedAtMs=began),
+        instance("s0", ("127.0.0.1", 1), startedAtMs=started_ms),
         instance("s1", ("127.0.0.1", 2), "left"),
     )
     rows = [reader.convert(parse_row(row)) for row in (first, second)]
@@ -467,37 +475,37 @@
     assert 2_900_000_000 < age < 60_000_000_000
     assert rows[1].entry.started_at == 0 and rows[1].entry.state is ServerState.GONE
     again = reader.convert(parse_row(first))
-    assert again.entry == rows[0].entry  # no restart where there was none
+    assert again.entry == rows[0].entry  # not taken for a restart
 
 
 @pytest.mark.parametrize("way", ["ask", "push"])
-def test_a_watch_ended_by_a_move_is_no_failure(way: str) -> None:
+def test_change_of_address_is_not_reported_as_a_failure(way: str) -> None:
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
         other = await StubLongPollServer().start()
         async with running_balancer(stub, settings=settings(discovery=way)) as balancer:
             await wait_until(lambda: len(balancer.discovery.paths) == 1)
-            heard = listen(balancer)
+            updates = record_updates(balancer)
             balancer.switch_discovery(other)
             await wait_until(lambda: len(other.paths) == 1)
             other.queue_json(listing(1, True, instance("s0", stub.address)))
             await wait_until(lambda: len(other.paths) == 2)
-            assert [update.kind for update in heard] == [ListKind.FULL]
+            assert [update.kind for update in updates] == [ListKind.FULL]
             assert len(balancer.discovery.paths) == 1
 
     run(main())
 
 
-def test_a_move_ends_the_pause_after_a_failure() -> None:
+def test_change_of_address_ends_the_pause_after_a_failure() -> None:
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
         other = await StubLongPollServer().start()
-        changed = settings()
-        changed["obligations"]["askEveryNs"] = 3_600_000_000_000  # its pauses last for minutes
-        async with running_balancer(stub, settings=changed) as balancer:
-            heard = listen(balancer)
+        given = settings()
+        given["obligations"]["askEveryNs"] = 3_600_000_000_000  # pauses of minutes
+        async with running_balancer(stub, settings=given) as balancer:
+            updates = record_updates(balancer)
             balancer.discovery.responses.put_nowait(http_response(b"", "503 Service Unavailable"))
-            await wait_until(lambda: bool(heard))
+            await wait_until(lambda: bool(updates))
             balancer.switch_discovery(other)
             await wait_until(lambda: other.paths == ["/v1/endpoints"])
             assert balancer.frontend.driver.decision_module.watch_failures == 0
