--- a/dykeshift/rules.py
+++ b/dykeshift/rules.py
@@ -390,9 +390,7 @@
         self.usual_latency = [c.latency_target * INITIAL_LATENCY_TARGET_SHARE for c in settings.classes]
         self.min_latency = list(self.usual_latency)  # of quick servers with almost no queue
         self.growth_latency_multiple = GROWTH_LATENCY_MULTIPLE
-        self.admission_share = (
-            1.0  # share of requests admitted: falls while most answers of the pool are slow
-        )
+        self.admission_share = 1.0  # of the requests; falls while most answers of the whole pool are slow
         self.overload_level = 0.0  # rises while requests find no server; classes of lower worth have to wait
         self.relative_worth = [1.0] * len(settings.classes)  # worth per work, as a share of the highest one
         self.mean_cost_hint = [0.0] * len(settings.classes)
@@ -646,7 +644,7 @@
         return state.in_flight > 0 and (state.consecutive_failures >= HANG_THRESHOLD or is_silent)
 
     def _is_suspect(self, now: int, open_request: OpenRequest, server: Server) -> bool:
-        """Whether a server is slow or stalled. Others are preferred, or it would collect single requests."""
+        """Whether a server is slow or stalled. Others come first, or it would get requests without copies."""
         silence = now - server.silent_since
         return (
             # A server that was slow lately would be overloaded by more requests.
@@ -792,9 +790,9 @@
         must_wait = self.overload_level > worth and not open_request.attempts
         sample = [] if must_wait else self._sample_servers(now, open_request)
         if now == open_request.arrived_at:
-            # Requests that have to wait count as placed, so that not only the classes of low worth wait. The
-            # fewer requests this balancer gets, the more each one weighs: an overload then lasts equally long
-            # for balancers of any size.
+            # Requests that have to wait count as placed, so that the classes of low worth are not starved.
+            # The fewer requests this balancer gets, the more each one weighs: an overload then lasts equally
+            # long at any request rate. The weight is constant until that rate has been measured.
             span = OVERLOAD_MEMORY_WINDOWS * TOLERATED_UNPLACED_SHARE * self.requests_per_window
             step = min(MAX_OVERLOAD_STEP, max(MIN_OVERLOAD_STEP, 1 / span)) if span else MIN_OVERLOAD_STEP
             self.overload_level = min(
@@ -824,8 +822,8 @@
         ):
             idle, copies = empty, max(1, self.settings.max_attempts - 1 - len(open_request.attempts))
         if self._is_urgent(now, open_request):
-            # Take the servers that finish first after the attempts they have: a quick server with some
-            # attempts can be better than a slow idle one.
+            # Prefer the servers that would finish first, given the attempts they have: a quick server with
+            # some attempts can be better than a slow idle one.
             idle = sorted(
                 (s for s in sample if s.has_answered), key=lambda s: s.relative_latency * (1 + s.in_flight)
             )
@@ -885,7 +883,7 @@
             open_request.request_class.idempotency is Idempotency.KEYED
             and open_request.first_possibly_executed()
         )
-        # The limit holds also if the connection is established later.
+        # Passed on with the attempt, since its connection may only be established after the dedup window.
         start_before = first.sent_at + open_request.request_class.dedup_window if first else 0
         open_request.attempts.append(Attempt(server, now))
         open_request.in_flight += 1
@@ -970,7 +968,7 @@
             self.open_requests.pop(open_request.request.id, None)
 
     def _give_up(self, now: int, open_request: OpenRequest, reason: str) -> None:
-        """Send a final answer without a server's: a refusal if a retry is harmless, otherwise a failure."""
+        """Give the final answer without a server: Refuse if a retry is harmless, otherwise Fail."""
         _increment(self.give_up_counts, f"{open_request.request_class.name}/{reason}")
         idempotency = open_request.request_class.idempotency
         deduped_everywhere = (
@@ -1009,7 +1007,8 @@
         state = server.class_states[open_request.request.class_index]
         self._update_class_state(now, open_request, state, end)
         is_unanswered = end.outcome in (Outcome.TIMEOUT, Outcome.CANCELLED)
-        # If the server has answered others since this attempt was sent, this class alone hangs there.
+        # If the server has answered others since this attempt was sent, this class alone hangs there, and the
+        # attempt says nothing about the server's load.
         if not (
             is_unanswered
             and state.consecutive_failures >= HANG_THRESHOLD
