--- a/dykeshift/node/listing.py
+++ b/dykeshift/node/listing.py
@@ -1,4 +1,4 @@
-"""Lists of servers in discovery's form, checked and read a bounded number of rows at a time."""
+"""Parses and validates server lists in discovery's JSON format, a bounded number of rows at a time."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 from dykeshift.node.json_cursor import JsonCursor
 from dykeshift.node.start_clock import StartTimeConverter
 
-ROWS_PER_TURN = 100  # rows read between two turns of the event loop: one to two milliseconds of work
+ROWS_PER_STEP = 100  # one to two milliseconds of work, after which other tasks may run
 _STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
 
 ServerT = TypeVar("ServerT")
 
 
 class ServerRow(NamedTuple):
-    """One server as discovery words it, checked."""
+    """One server in the terms of discovery, validated."""
 
-    number: int
+    server_id: int
     address: str  # host:port; empty for a server that is gone
     zone: str
     kind: str
@@ -39,7 +39,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedServer:
-    """One server of a list; its address is kept as text, since most servers are never connected to."""
+    """One server in the terms of this balancer.
+
+    The address is kept as text, because most servers are never connected to.
+    """
 
     entry: ServerEntry
     address: str  # host:port; empty for a server that is gone
@@ -47,44 +50,52 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerListing(Generic[ServerT]):
-    """A whole list or the changes since an earlier one."""
+    """A full list, or the changes since an earlier one."""
 
     generation: int
     is_full: bool
     servers: list[ServerT]
 
 
-FindServer = Callable[[int], ListedServer | None]  # what an earlier list said of the server of this number
+# Returns the entry of an earlier list for a server ID, or None.
+FindServer = Callable[[int], ListedServer | None]
 
 
 def find_no_server(_: int) -> ListedServer | None:
-    """No earlier list."""
+    """Return None: there is no earlier list."""
     return None
 
 
-def server_id_of(instance: str) -> int:
-    """The same number for the same id, at every start and with nothing kept for those long gone."""
-    return int.from_bytes(hashlib.blake2b(instance.encode(), digest_size=8).digest(), "big")
+def server_id_of(instance_id: str) -> int:
+    """Return the server ID for an instance ID.
+
+    It is a hash, so that it is the same after each start, and nothing is kept for servers that are gone.
+    """
+    return int.from_bytes(hashlib.blake2b(instance_id.encode(), digest_size=8).digest(), "big")
 
 
 def decode_text(body: bytes) -> str:
-    """The text of a JSON document, as the json module takes it from bytes."""
+    """Decode a JSON document in the way that json.loads does."""
     return body.decode(json.detect_encoding(body), "surrogatepass")
 
 
 @lru_cache(maxsize=64)
 def shared_weight(weight: float) -> float:
-    """One object for all servers of this weight; a fleet has few of them."""
+    """Return one object for all servers of equal weight, as a fleet has few different weights."""
     return weight
 
 
 def parse_row(raw: Any) -> ServerRow:
+    """Validate one server of a list.
+
+    Raises ValueError, KeyError, TypeError, AttributeError or OverflowError if it is invalid.
+    """
     state = _STATES.get(raw["lifecycle"])
     if state is None:
-        raise ValueError(f"lifecycle is {raw['lifecycle']!r}")
+        raise ValueError(f"unknown lifecycle {raw['lifecycle']!r}")
     weight = float(raw.get("weight", 1.0))
     if not 0 <= weight < math.inf:
-        raise ValueError(f"weight is {weight}")
+        raise ValueError(f"weight is {weight}, expected a finite number of at least 0")
     address = ""
     if state is not ServerState.GONE:
         address = str(raw["hostPort"])
@@ -104,9 +115,9 @@
 def parse_listing_steps(
     cursor: JsonCursor, convert: Callable[[ServerRow], ServerT]
 ) -> Generator[None, None, ServerListing[ServerT]]:
-    """Read the list that begins here, ROWS_PER_TURN rows in each step.
+    """Parse the list at the cursor, ROWS_PER_STEP rows in each step.
 
-    ValueError if any part is unsound.
+    Raises ValueError if any part is invalid.
     """
     try:
         return (yield from _parse_members(cursor, convert))
@@ -123,10 +134,10 @@
             fields[key] = yield from _parse_rows(cursor, convert)
         else:
             fields[key] = cursor.read_value()
-    generation, whole, servers = fields["generation"], fields["reset"], fields["instances"]
-    if type(generation) is not int or type(whole) is not bool or type(servers) is not list:
-        raise ValueError("generation, reset or instances is of the wrong kind")
-    return ServerListing(generation, whole, servers)
+    generation, is_full, servers = fields["generation"], fields["reset"], fields["instances"]
+    if type(generation) is not int or type(is_full) is not bool or type(servers) is not list:
+        raise ValueError("generation, reset or instances has the wrong type")
+    return ServerListing(generation, is_full, servers)
 
 
 def _parse_rows(
@@ -135,13 +146,13 @@
     servers: list[ServerT] = []
     for raw in cursor.read_elements():
         servers.append(convert(parse_row(raw)))
-        if len(servers) % ROWS_PER_TURN == 0:
+        if len(servers) % ROWS_PER_STEP == 0:
             yield
     return servers
 
 
 def parse_listing(cursor: JsonCursor) -> ServerListing[ServerRow]:
-    """The list that begins here, at once; ValueError if any part is unsound."""
+    """Parse the list at the cursor at once; raise ValueError if any part is invalid."""
     steps = parse_listing_steps(cursor, lambda row: row)
     while True:
         try:
@@ -152,7 +163,7 @@
 
 
 class ListReader:
-    """Reads lists for this balancer: its numbers for zones and kinds, and its clock."""
+    """Reads lists and converts them to this balancer's zone numbers, kind numbers and clock."""
 
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
         self.zones = {name: n for n, name in enumerate(zones)}
@@ -160,8 +171,9 @@
         self.start_times = StartTimeConverter()
 
     def convert(self, row: ServerRow) -> ListedServer:
+        """Convert one row; an unknown zone or kind becomes -1."""
         entry = ServerEntry(
-            id=row.number,
+            id=row.server_id,
             zone=self.zones.get(row.zone, -1),
             cell=row.cell,
             kind=self.kinds.get(row.kind, -1),
@@ -174,17 +186,17 @@
     async def read(
         self, text: str, yield_until: float = math.inf, find_server: FindServer = find_no_server
     ) -> ServerListing[ListedServer]:
-        """Read a list with turns of the event loop in between; ValueError if any part is unsound.
+        """Read a list, giving other tasks a turn after each step; raise ValueError if any part is invalid.
 
-        What is unchanged since an earlier list is the object that is `held`, so that a list takes memory
-        only for what is new in it.
+        A server that is unchanged since an earlier list is represented by the object that `find_server`
+        returns, so that a list takes memory only for its changes.
 
-        From `turns_until` (time.monotonic) on there are no more turns: nothing goes out any more by the
-        old list. Cancelled, it has had no effect.
+        From `yield_until` (time.monotonic) on, the rest is read without giving other tasks a turn, so that
+        no more requests are sent by the old list. If the call is cancelled, nothing has been applied.
         """
 
         def convert(row: ServerRow) -> ListedServer:
-            new, old = self.convert(row), find_server(row.number)
+            new, old = self.convert(row), find_server(row.server_id)
             return old if old is not None and old == new else new
 
         cursor = JsonCursor(text)
--- a/tests/node/test_listing.py
+++ b/tests/node/test_listing.py
@@ -15,7 +15,7 @@
 from dykeshift.node import config
 from dykeshift.node.json_cursor import JsonCursor
 from dykeshift.node.listing import (
-    ROWS_PER_TURN,
+    ROWS_PER_STEP,
     ListedServer,
     ListReader,
     ServerRow,
@@ -108,7 +108,7 @@
         got = await reader.read(json.dumps(large()))
         assert len(got.servers) == reader.rows == LARGE
         stretches = [b - a for a, b in zip(rows_at_turn, rows_at_turn[1:], strict=False)]
-        assert max(stretches) <= ROWS_PER_TURN and len(stretches) >= LARGE // ROWS_PER_TURN
+        assert max(stretches) <= ROWS_PER_STEP and len(stretches) >= LARGE // ROWS_PER_STEP
 
     run(main())
 
@@ -140,7 +140,7 @@
             reader = count_rows(balancer)
             asking: list[asyncio.Task[Message]] = []
             reader.at[1] = lambda: asking.append(asyncio.create_task(balancer.fetch(http_request())))
-            whole = large(10 * ROWS_PER_TURN, state="leaving")
+            whole = large(10 * ROWS_PER_STEP, state="leaving")
             whole["instances"] += [instance("s0", stub.address, "leaving"), instance("s1", other.address)]
             balancer.discovery.queue_json(whole)
             await wait_until(lambda: bool(asking))
@@ -158,7 +158,7 @@
             reader.at[1] = lambda: asyncio.get_running_loop().call_soon(lambda: seen.append(reader.rows))
             balancer.discovery.queue_json(large())
             await wait_until(lambda: len(balancer.frontend.driver.pool.listed_servers) == LARGE)
-            assert seen == [ROWS_PER_TURN]
+            assert seen == [ROWS_PER_STEP]
 
     run(main())
 
@@ -252,7 +252,7 @@
         stub = await StubServer(responds_with(http_response())).start()
         async with running_balancer(stub) as balancer:
             told = told_to_the_module(balancer)
-            whole = large(10 * ROWS_PER_TURN)
+            whole = large(10 * ROWS_PER_STEP)
             whole["instances"][-1]["lifecycle"] = "asleep"
             balancer.discovery.queue_json(whole)
             await wait_until(lambda: bool(told))
@@ -263,7 +263,7 @@
     run(main())
 
 
-@pytest.mark.parametrize("row", [1, ROWS_PER_TURN, 5 * ROWS_PER_TURN, 10 * ROWS_PER_TURN])
+@pytest.mark.parametrize("row", [1, ROWS_PER_STEP, 5 * ROWS_PER_STEP, 10 * ROWS_PER_STEP])
 def test_a_list_that_is_overtaken_by_a_move_while_it_is_read_is_not_applied(row: int) -> None:
     """The other discovery's list may be there first: the old one applied after it would undo its news."""
 
@@ -278,14 +278,14 @@
             other.queue_json(listing(1, True, instance("s0", stub.address), instance("s1", stub.address)))
             reader.at[row] = lambda: asyncio.get_running_loop().call_soon(balancer.switch_discovery, other)
             # One row beyond a whole number of stretches: the last turn is not yet the end.
-            balancer.discovery.queue_json(large(10 * ROWS_PER_TURN + 1, state="leaving"))
+            balancer.discovery.queue_json(large(10 * ROWS_PER_STEP + 1, state="leaving"))
             await wait_until(lambda: len(other.paths) == 2)
             assert [(update.kind, len(update.entries)) for update in told] == [(ListKind.FULL, 2)]
             assert set(balancer.frontend.driver.pool.listed_servers) == {
                 server_id_of("s0"),
                 server_id_of("s1"),
             }
-            assert reader.rows <= row + ROWS_PER_TURN + 2  # given up at the next turn
+            assert reader.rows <= row + ROWS_PER_STEP + 2  # given up at the next turn
 
     run(main())
 
