--- a/tests/node/test_listing.py
+++ b/tests/node/test_listing.py
@@ -1,4 +1,4 @@
-"""Large lists: read in bounded stretches, taken over whole or not at all, and held compactly."""
+"""Large lists: read in bounded steps, applied in full or not at all, and kept in little memory."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     ListedServer,
     ListReader,
     ServerRow,
-    server_id_of,
     parse_listing,
+    server_id_of,
 )
 from dykeshift.node.upstream import Pool
 from dykeshift.settings import SettingsError
@@ -41,34 +41,34 @@
     wait_until,
 )
 
-LARGE = 6400
-HOUR = 3_600_000_000_000  # nanoseconds: no list is read for so long
+LARGE_COUNT = 6400
+HOUR_NS = 3_600_000_000_000  # longer than any list takes to read
 
 
-def large(count: int = LARGE, generation: int = 2, state: str = "active") -> dict[str, Any]:
-    """A whole list, none of whose servers can be reached."""
+def large_list(count: int = LARGE_COUNT, generation: int = 2, state: str = "active") -> dict[str, Any]:
+    """Return a full list of servers that cannot be reached."""
     rows = (instance(f"l{n}", ("127.0.0.1", 9), state, startedAtMs=n) for n in range(count))
     return listing(generation, True, *rows)
 
 
-def with_drain_grace(nanoseconds: int) -> dict[str, Any]:
-    changed = settings()
-    changed["obligations"]["drainGraceNs"] = nanoseconds
-    return changed
+def settings_with_drain_grace(nanoseconds: int) -> dict[str, Any]:
+    given = settings()
+    given["obligations"]["drainGraceNs"] = nanoseconds
+    return given
 
 
 class CountingReader(ListReader):
-    """Counts its rows; `at` is called with the number of each."""
+    """Counts the rows that it converts, and calls `row_callbacks[n]` at the n-th row."""
 
     def __init__(self, zones: tuple[str, ...] = ("a", "b"), kinds: tuple[str, ...] = ("m",)) -> None:
         super().__init__(zones, kinds)
         self.rows = 0
-        self.at: dict[int, Any] = {}
+        self.row_callbacks: dict[int, Any] = {}
 
     def convert(self, row: ServerRow) -> ListedServer:
         self.rows += 1
-        if self.rows in self.at:
-            self.at[self.rows]()
+        if self.rows in self.row_callbacks:
+            self.row_callbacks[self.rows]()
         return super().convert(row)
 
 
@@ -77,88 +77,91 @@
     return reader
 
 
-def told_to_the_module(balancer: RunningBalancer) -> list[ServerListUpdate]:
-    told: list[ServerListUpdate] = []
+def record_updates(balancer: RunningBalancer) -> list[ServerListUpdate]:
+    updates: list[ServerListUpdate] = []
     module = balancer.frontend.driver.decision_module
-    sound = module.on_list
+    on_list_before = module.on_list
 
     def on_list(now: int, update: ServerListUpdate) -> list[Action]:
-        told.append(update)
-        return sound(now, update)
+        updates.append(update)
+        return on_list_before(now, update)
 
     module.on_list = on_list  # type: ignore[method-assign]
-    return told
+    return updates
 
 
-# ---- reading ----
+# ---- reading in steps ----
 
 
-def test_the_loop_has_its_turn_after_each_stretch_of_rows() -> None:
+def test_other_tasks_run_after_each_step() -> None:
     async def main() -> None:
         reader = CountingReader()
         loop = asyncio.get_running_loop()
-        rows_at_turn = [0]
+        rows_at_iteration = [0]
 
-        def turn() -> None:
-            rows_at_turn.append(reader.rows)
-            if reader.rows < LARGE:
-                loop.call_soon(turn)
+        def record_rows() -> None:
+            rows_at_iteration.append(reader.rows)
+            if reader.rows < LARGE_COUNT:
+                loop.call_soon(record_rows)
 
-        loop.call_soon(turn)
-        got = await reader.read(json.dumps(large()))
-        assert len(got.servers) == reader.rows == LARGE
-        stretches = [b - a for a, b in zip(rows_at_turn, rows_at_turn[1:], strict=False)]
-        assert max(stretches) <= ROWS_PER_STEP and len(stretches) >= LARGE // ROWS_PER_STEP
+        loop.call_soon(record_rows)
+        result = await reader.read(json.dumps(large_list()))
+        assert len(result.servers) == reader.rows == LARGE_COUNT
+        steps = [b - a for a, b in zip(rows_at_iteration, rows_at_iteration[1:], strict=False)]
+        assert max(steps) <= ROWS_PER_STEP and len(steps) >= LARGE_COUNT // ROWS_PER_STEP
 
     run(main())
 
 
-def test_without_time_for_turns_the_rest_is_read_at_once() -> None:
+def test_rest_is_read_at_once_when_the_time_to_yield_is_over() -> None:
     async def main() -> None:
         reader = CountingReader()
         loop = asyncio.get_running_loop()
-        seen: list[int] = []
-        reader.at[1] = lambda: loop.call_soon(lambda: seen.append(reader.rows))
-        await reader.read(json.dumps(large()), yield_until=0.0)
+        rows_seen: list[int] = []
+        reader.row_callbacks[1] = lambda: loop.call_soon(lambda: rows_seen.append(reader.rows))
+        await reader.read(json.dumps(large_list()), yield_until=0.0)
         await asyncio.sleep(0)
-        assert seen == [LARGE]
+        assert rows_seen == [LARGE_COUNT]
 
     run(main())
 
 
-def test_a_drain_in_a_large_list_is_honoured_however_long_the_list_is_read() -> None:
-    """Requests are served meanwhile, by the old list: no longer than a part of the drain grace."""
+def test_drain_in_a_large_list_takes_effect_however_long_the_list_takes_to_read() -> None:
+    """While a list is read, the old one is used, for no longer than a share of the drain grace."""
 
     async def main() -> None:
         stub, other = (
             await StubServer(responds_with(http_response())).start(),
             await StubServer(responds_with(http_response())).start(),
         )
-        async with running_balancer(
-            stub, settings=with_drain_grace(0)
-        ) as balancer:  # over before the first row
+        # A drain grace of 0 leaves no time to yield.
+        async with running_balancer(stub, settings=settings_with_drain_grace(0)) as balancer:
             reader = count_rows(balancer)
-            asking: list[asyncio.Task[Message]] = []
-            reader.at[1] = lambda: asking.append(asyncio.create_task(balancer.fetch(http_request())))
-            whole = large(10 * ROWS_PER_STEP, state="leaving")
-            whole["instances"] += [instance("s0", stub.address, "leaving"), instance("s1", other.address)]
-            balancer.discovery.queue_json(whole)
-            await wait_until(lambda: bool(asking))
-            assert (await asking[0]).body == b"done"
+            tasks: list[asyncio.Task[Message]] = []
+            reader.row_callbacks[1] = lambda: tasks.append(
+                asyncio.create_task(balancer.fetch(http_request()))
+            )
+            full_list = large_list(10 * ROWS_PER_STEP, state="leaving")
+            full_list["instances"] += [instance("s0", stub.address, "leaving"), instance("s1", other.address)]
+            balancer.discovery.queue_json(full_list)
+            await wait_until(lambda: bool(tasks))
+            assert (await tasks[0]).body == b"done"
             assert not stub.requests and len(other.requests) == 1
 
     run(main())
 
 
-def test_the_first_list_is_read_in_turns_however_long_that_takes() -> None:
+def test_first_list_is_read_in_steps_however_long_that_takes() -> None:
     async def main() -> None:
-        async with running_balancer(settings=with_drain_grace(0)) as balancer:
+        async with running_balancer(settings=settings_with_drain_grace(0)) as balancer:
             reader = count_rows(balancer)
-            seen: list[int] = []
-            reader.at[1] = lambda: asyncio.get_running_loop().call_soon(lambda: seen.append(reader.rows))
-            balancer.discovery.queue_json(large())
-            await wait_until(lambda: len(balancer.frontend.driver.pool.listed_servers) == LARGE)
-            assert seen == [ROWS_PER_STEP]
+            rows_seen: list[int] = []
+            reader.row_callbacks[1] = lambda: asyncio.get_running_loop().call_soon(
+                lambda: rows_seen.append(reader.rows)
+            )
+            balancer.discovery.queue_json(large_list())
+            await wait_until(lambda: len(balancer.frontend.driver.pool.listed_servers) == LARGE_COUNT)
+            assert rows_seen == [ROWS_PER_STEP]
 
     run(main())
 
@@ -166,32 +169,32 @@
 def test_requests_are_served_while_a_large_list_is_read() -> None:
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
-        async with running_balancer(stub, settings=with_drain_grace(HOUR)) as balancer:
+        async with running_balancer(stub, settings=settings_with_drain_grace(HOUR_NS)) as balancer:
             reader = count_rows(balancer)
             served_at: list[int] = []
 
-            async def ask() -> None:
+            async def fetch_response() -> None:
                 await balancer.fetch(http_request())
                 served_at.append(reader.rows)
 
-            asking: list[asyncio.Task[None]] = []
-            reader.at[1] = lambda: asking.append(asyncio.create_task(ask()))
-            balancer.discovery.queue_json(large())
+            tasks: list[asyncio.Task[None]] = []
+            reader.row_callbacks[1] = lambda: tasks.append(asyncio.create_task(fetch_response()))
+            balancer.discovery.queue_json(large_list())
             await wait_until(lambda: bool(served_at))
-            assert served_at[0] < LARGE
-            await wait_until(lambda: len(balancer.frontend.driver.pool.listed_servers) == LARGE)
+            assert served_at[0] < LARGE_COUNT
+            await wait_until(lambda: len(balancer.frontend.driver.pool.listed_servers) == LARGE_COUNT)
 
     run(main())
 
 
-SOUND = [
+VALID_JSON = [
     '{"a":1}',
     "{}",
     ' { "a" : [ ] , "b" : { } , "a" : 2 } ',
     '{"instances":[1 , 2,{"x":[3]}],"instances":[4],"z":null}',
     '{"\\u0061":"\\"}]"}',
 ]
-UNSOUND = [
+INVALID_JSON = [
     "",
     " ",
     "{",
@@ -213,7 +216,7 @@
 ]
 
 
-def read_piece_by_piece(text: str) -> dict[str, Any]:
+def parse_incrementally(text: str) -> dict[str, Any]:
     cursor = JsonCursor(text)
     fields = {}
     for key in cursor.read_keys():
@@ -222,41 +225,41 @@
     return fields
 
 
-@pytest.mark.parametrize("text", SOUND)
-def test_piece_by_piece_a_document_reads_as_it_does_at_once(text: str) -> None:
-    assert read_piece_by_piece(text) == json.loads(text)
+@pytest.mark.parametrize("text", VALID_JSON)
+def test_incremental_parsing_equals_json_loads(text: str) -> None:
+    assert parse_incrementally(text) == json.loads(text)
 
 
-@pytest.mark.parametrize("text", UNSOUND)
-def test_piece_by_piece_an_unsound_document_is_as_unsound(text: str) -> None:
+@pytest.mark.parametrize("text", INVALID_JSON)
+def test_incremental_parsing_rejects_what_json_loads_rejects(text: str) -> None:
     with pytest.raises(ValueError):
         json.loads(text)
     with pytest.raises(ValueError):
-        read_piece_by_piece(text)
+        parse_incrementally(text)
 
 
 @pytest.mark.parametrize(
     "order", [("instances", "generation", "reset"), ("reset", "instances", "generation")]
 )
-def test_the_members_of_a_list_come_in_any_order(order: tuple[str, ...]) -> None:
-    whole = large(250, generation=7)
-    got = parse_listing(JsonCursor(json.dumps({key: whole[key] for key in order})))
-    assert (got.generation, got.is_full, len(got.servers)) == (7, True, 250)
+def test_members_of_a_list_may_be_in_any_order(order: tuple[str, ...]) -> None:
+    full_list = large_list(250, generation=7)
+    result = parse_listing(JsonCursor(json.dumps({key: full_list[key] for key in order})))
+    assert (result.generation, result.is_full, len(result.servers)) == (7, True, 250)
 
 
-# ---- whole or not at all ----
+# ---- applied in full or not at all ----
 
 
-def test_nothing_is_taken_over_of_a_large_list_with_one_unsound_row() -> None:
+def test_large_list_with_one_invalid_row_is_not_applied() -> None:
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
         async with running_balancer(stub) as balancer:
-            told = told_to_the_module(balancer)
-            whole = large(10 * ROWS_PER_STEP)
-            whole["instances"][-1]["lifecycle"] = "asleep"
-            balancer.discovery.queue_json(whole)
-            await wait_until(lambda: bool(told))
-            assert [update.kind for update in told] == [ListKind.FAILED]
+            updates = record_updates(balancer)
+            full_list = large_list(10 * ROWS_PER_STEP)
+            full_list["instances"][-1]["lifecycle"] = "asleep"
+            balancer.discovery.queue_json(full_list)
+            await wait_until(lambda: bool(updates))
+            assert [update.kind for update in updates] == [ListKind.FAILED]
             assert set(balancer.frontend.driver.pool.listed_servers) == {server_id_of("s0")}
             assert (await balancer.fetch(http_request())).body == b"done"
 
@@ -264,95 +267,101 @@
 
 
 @pytest.mark.parametrize("row", [1, ROWS_PER_STEP, 5 * ROWS_PER_STEP, 10 * ROWS_PER_STEP])
-def test_a_list_that_is_overtaken_by_a_move_while_it_is_read_is_not_applied(row: int) -> None:
-    """The other discovery's list may be there first: the old one applied after it would undo its news."""
+def test_list_is_not_applied_if_the_discovery_address_changes_while_it_is_read(row: int) -> None:
+    """The old list would undo the changes of the other discovery's list if it were applied after it."""
 
     async def main() -> None:
         stub, other = (
             await StubServer(responds_with(http_response())).start(),
             await StubLongPollServer().start(),
         )
-        async with running_balancer(stub, settings=with_drain_grace(HOUR)) as balancer:
-            told = told_to_the_module(balancer)
+        async with running_balancer(stub, settings=settings_with_drain_grace(HOUR_NS)) as balancer:
+            updates = record_updates(balancer)
             reader = count_rows(balancer)
             other.queue_json(listing(1, True, instance("s0", stub.address), instance("s1", stub.address)))
-            reader.at[row] = lambda: asyncio.get_running_loop().call_soon(balancer.switch_discovery, other)
-            # One row beyond a whole number of stretches: the last turn is not yet the end.
-            balancer.discovery.queue_json(large(10 * ROWS_PER_STEP + 1, state="leaving"))
+            reader.row_callbacks[row] = lambda: asyncio.get_running_loop().call_soon(
+                balancer.switch_discovery, other
+            )
+            # One row more than a whole number of steps, so that the list does not end with the last yield.
+            balancer.discovery.queue_json(large_list(10 * ROWS_PER_STEP + 1, state="leaving"))
             await wait_until(lambda: len(other.paths) == 2)
-            assert [(update.kind, len(update.entries)) for update in told] == [(ListKind.FULL, 2)]
+            assert [(update.kind, len(update.entries)) for update in updates] == [(ListKind.FULL, 2)]
             assert set(balancer.frontend.driver.pool.listed_servers) == {
                 server_id_of("s0"),
                 server_id_of("s1"),
             }
-            assert reader.rows <= row + ROWS_PER_STEP + 2  # given up at the next turn
+            assert reader.rows <= row + ROWS_PER_STEP + 2  # cancelled at the next yield
 
     run(main())
 
 
-# ---- what is held ----
+# ---- memory ----
 
 
-def tracked_by(build: Any) -> tuple[int, Any]:
-    """How many objects the collector has to walk for what this builds, and that itself."""
+def count_tracked_objects(build: Any) -> tuple[int, Any]:
+    """Return how many objects the garbage collector tracks for the result of `build`, and that result."""
     gc.collect()
     before = len(gc.get_objects())
-    built = build()
+    created = build()
     gc.collect()
-    return len(gc.get_objects()) - before, built
+    return len(gc.get_objects()) - before, created
 
 
-@pytest.mark.parametrize("count", [100, LARGE])
-def test_a_listed_server_takes_two_objects_until_it_is_used(count: int) -> None:
+@pytest.mark.parametrize("count", [100, LARGE_COUNT])
+def test_listed_server_takes_two_objects_until_it_is_used(count: int) -> None:
     async def main() -> None:
         pool = Pool(asyncio.get_running_loop(), 10, 1.0, 10.0)
-        text = json.dumps(large(count))
+        text = json.dumps(large_list(count))
         convert = CountingReader().convert
-        objects, _ = tracked_by(
+        object_count, _ = count_tracked_objects(
             lambda: pool.replace_servers([convert(row) for row in parse_listing(JsonCursor(text)).servers])
         )
-        assert objects <= 2 * count + 20
+        assert object_count <= 2 * count + 20
         assert len(pool.listed_servers) == count and not pool.upstreams
 
     run(main())
 
 
-def test_servers_of_equal_weight_share_it() -> None:
-    text = json.dumps(large(10))
+def test_servers_of_equal_weight_share_one_object() -> None:
+    text = json.dumps(large_list(10))
     rows = parse_listing(JsonCursor(text)).servers + parse_listing(JsonCursor(text)).servers
     assert len({id(row.weight) for row in rows}) == 1
 
 
-def test_a_list_adds_objects_for_its_changed_servers_alone() -> None:
-    """The list known from before the start, the agent's whole one, and a whole one again."""
+def test_list_adds_objects_for_changed_servers_only() -> None:
+    """The balancer reads the known list from before the start, and then two full lists of the agent."""
 
     async def main() -> None:
-        first, second = large(100, generation=7), large(101, generation=8)
+        first, second = large_list(100, generation=7), large_list(101, generation=8)
         second["instances"][5]["lifecycle"] = "leaving"
         async with running_balancer(
             discovery_answers=False, settings=settings(discovery="push"), known=first
         ) as balancer:
             pool = balancer.frontend.driver.pool
             await wait_until(lambda: len(pool.listed_servers) == 100)
-            held = {number: id(one) for number, one in pool.listed_servers.items()}
+            ids_before = {number: id(listed) for number, listed in pool.listed_servers.items()}
             balancer.discovery.queue_json(second)
-            balancer.discovery.queue_json(second)  # the first may go out on a call that was given up
+            balancer.discovery.queue_json(second)  # the first may be the response to a call that has ended
             await wait_until(lambda: len(pool.listed_servers) == 101)
-            changed = {number for number, one in pool.listed_servers.items() if held.get(number) != id(one)}
+            changed = {
+                number
+                for number, listed in pool.listed_servers.items()
+                if ids_before.get(number) != id(listed)
+            }
             assert changed == {server_id_of("l5"), server_id_of("l100")}
 
     run(main())
 
 
-def test_the_pool_keeps_connection_state_for_used_servers_alone() -> None:
+def test_pool_keeps_connection_state_for_used_servers_only() -> None:
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
         async with running_balancer(stub) as balancer:
             pool = balancer.frontend.driver.pool
-            whole = large(LARGE, state="leaving")
-            whole["instances"].append(instance("s0", stub.address))
-            balancer.discovery.queue_json(whole)
-            await wait_until(lambda: len(pool.listed_servers) == LARGE + 1)
+            full_list = large_list(LARGE_COUNT, state="leaving")
+            full_list["instances"].append(instance("s0", stub.address))
+            balancer.discovery.queue_json(full_list)
+            await wait_until(lambda: len(pool.listed_servers) == LARGE_COUNT + 1)
             for n in range(5):
                 assert (await balancer.fetch(http_request(request_id=f"r{n}"))).body == b"done"
             assert set(pool.upstreams) == {server_id_of("s0")}
@@ -363,56 +372,58 @@
     run(main())
 
 
-@pytest.mark.parametrize("count", [10, LARGE])
-def test_a_configuration_holds_one_object_for_each_known_server_and_none_for_a_tenant(
+@pytest.mark.parametrize("count", [10, LARGE_COUNT])
+def test_configuration_takes_one_object_per_known_server_and_none_per_tenant(
     count: int, tmp_path: Path
 ) -> None:
     path = tmp_path / "config.json"
     parties = [{"name": f"t{n}", "quotaPerS": n + 0.5} for n in range(2 * count)]
-    raw = configuration(("127.0.0.1", 9), large(count))
-    path.write_text(json.dumps({**raw, "settings": settings(parties=parties)}))
-    objects, given = tracked_by(lambda: config.load(str(path)))
-    assert objects <= count + 100
-    assert len(given.known_list.servers) == count
-    assert [given.tenants.index_of(f"t{n}".encode()) for n in range(2 * count)] == list(range(2 * count))
-    assert given.settings.tenant_quotas_per_s == tuple(n + 0.5 for n in range(2 * count))
+    raw_config = configuration(("127.0.0.1", 9), large_list(count))
+    path.write_text(json.dumps({**raw_config, "settings": settings(parties=parties)}))
+    object_count, parsed = count_tracked_objects(lambda: config.load(str(path)))
+    assert object_count <= count + 100
+    assert len(parsed.known_list.servers) == count
+    assert [parsed.tenants.index_of(f"t{n}".encode()) for n in range(2 * count)] == list(range(2 * count))
+    assert parsed.settings.tenant_quotas_per_s == tuple(n + 0.5 for n in range(2 * count))
 
 
 @pytest.mark.parametrize("known", [None, {}, [], 5, {"generation": 1, "reset": True, "instances": [{}]}])
-def test_a_configuration_holds_without_a_sound_known_list(known: Any) -> None:
-    raw = json.dumps({**configuration(("127.0.0.1", 9)), "known": known, "seed": "last"})
-    given = config.parse(raw)
-    assert given.known_list is None and given.seed == int.from_bytes(b"last", "big")
+def test_configuration_is_valid_without_a_valid_known_list(known: Any) -> None:
+    raw_config = json.dumps({**configuration(("127.0.0.1", 9)), "known": known, "seed": "last"})
+    parsed = config.parse(raw_config)
+    assert parsed.known_list is None and parsed.seed == int.from_bytes(b"last", "big")
 
 
-def test_the_reading_of_a_configuration_goes_by_json_alone() -> None:
-    """Whatever the order of its members; of those that come twice the last one holds."""
-    raw = configuration(("127.0.0.1", 9), large(3))
-    text = json.dumps({key: raw[key] for key in reversed(raw)}, indent=3)
-    plain = config.parse(json.dumps(raw))
+def test_configuration_follows_the_rules_of_json() -> None:
+    """Members may be in any order; of duplicate members the last one is used."""
+    raw_config = configuration(("127.0.0.1", 9), large_list(3))
+    text = json.dumps({key: raw_config[key] for key in reversed(raw_config)}, indent=3)
+    plain = config.parse(json.dumps(raw_config))
     assert config.parse(text) == plain
     assert config.parse(text[:-1] + ',"known":null}').known_list is None
 
 
-@pytest.mark.parametrize("known", [None, {}, [], 5, large(3), {"instances": [{}], "x": [1]}])
-def test_a_configuration_that_is_read_anew_is_the_same_without_its_known_list(known: Any) -> None:
-    raw = json.dumps({**configuration(("127.0.0.1", 9)), "known": known, "seed": "last"})
-    assert config.parse(raw, with_known_list=False) == replace(config.parse(raw), known_list=None)
+@pytest.mark.parametrize("known", [None, {}, [], 5, large_list(3), {"instances": [{}], "x": [1]}])
+def test_configuration_without_its_known_list_is_otherwise_the_same(known: Any) -> None:
+    raw_config = json.dumps({**configuration(("127.0.0.1", 9)), "known": known, "seed": "last"})
+    assert config.parse(raw_config, with_known_list=False) == replace(
+        config.parse(raw_config), known_list=None
+    )
 
 
 @pytest.mark.parametrize("parties", [None, 5, {}, "x"])
-def test_tenants_that_are_no_list_are_no_sound_configuration(parties: Any) -> None:
-    raw = configuration(("127.0.0.1", 9))
+def test_tenants_have_to_be_a_list(parties: Any) -> None:
+    raw_config = configuration(("127.0.0.1", 9))
     with pytest.raises(SettingsError):
-        config.parse(json.dumps({**raw, "settings": settings(parties=parties)}))
+        config.parse(json.dumps({**raw_config, "settings": settings(parties=parties)}))
 
 
 @pytest.mark.parametrize(
     "party", [5, None, [], {}, {"name": "x"}, {"quotaPerS": 1.0}, {"x": {"name": "x", "quotaPerS": 1.0}}]
 )
-def test_a_tenant_without_its_name_or_share_is_no_sound_configuration(party: Any) -> None:
-    raw = configuration(("127.0.0.1", 9))
+def test_tenant_needs_a_name_and_a_quota(party: Any) -> None:
+    raw_config = configuration(("127.0.0.1", 9))
     with pytest.raises(SettingsError):
         config.parse(
-            json.dumps({**raw, "settings": settings(parties=[{"name": "a", "quotaPerS": 1.0}, party])})
+            json.dumps({**raw_config, "settings": settings(parties=[{"name": "a", "quotaPerS": 1.0}, party])})
         )
