--- a/dykeshift/control.py
+++ b/dykeshift/control.py
@@ -17,7 +17,7 @@
 from dykeshift.settings import MalformedInputError
 from dykeshift.settings_check import check_settings, with_fixed_keys
 
-LONG_POLL_MS = 2_000  # a watch that stops responding is noticed soon after this time
+LONG_POLL_MS = 2_000  # longest hold of a call; an agent that stops responding is noticed soon after it
 FIRST_BACKOFF_S = 0.2  # doubled with each consecutive failure
 MAX_BACKOFF_S = 1.6
 MIN_BACKOFF_SHARE = 0.5  # of the back-off; the rest is random jitter
--- a/dykeshift/node/config.py
+++ b/dykeshift/node/config.py
@@ -37,9 +37,7 @@
     discovery: Address
     seed: int
     max_connections: int  # to clients, and as many to upstreams
-    known_list: (
-        ServerListing[ServerRow] | None
-    )  # last list before the start; None if it is missing or invalid
+    known_list: ServerListing[ServerRow] | None  # server list from before the start, if there is a valid one
     settings: Settings
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
--- a/dykeshift/node/service_settings.py
+++ b/dykeshift/node/service_settings.py
@@ -16,7 +16,7 @@
 
     driver: Driver
     discovery: DiscoveryWatch
-    front: Frontend
+    frontend: Frontend
 
     def apply(self, new: config.Config) -> bool:
         """Update all parts within one turn of the event loop.
@@ -28,5 +28,5 @@
             return False
         self.driver.pool.set_timeouts(new.connect_timeout_s, new.keepalive_s)
         self.discovery.drain_grace_s = new.drain_grace_s
-        self.front.request_reader = requests.RequestReader(new.settings.classes, new.tenants)
+        self.frontend.request_reader = requests.RequestReader(new.settings.classes, new.tenants)
         return True
