--- a/dykeshift/node/shutdown.py
+++ b/dykeshift/node/shutdown.py
@@ -15,8 +15,8 @@
 SIGKILL_AFTER_CLIENT_TIMEOUT_S = 0.7  # from SIGTERM plus the longest client timeout to the earliest SIGKILL
 MAX_COUNTED_CLIENT_TIMEOUT_S = 3.0  # longer client timeouts do not delay SIGKILL any further
 MAX_STALL_S = 0.15  # time for which the process may get no processor time at any moment
-# From the end of service, when every request has its final answer, to the earliest SIGKILL. The process may
-# stall once before it handles SIGTERM and once more before its last answers are written, and writing them
+# From the end of service, when every request has its final response, to the earliest SIGKILL. The process may
+# stall once before it handles SIGTERM and once more before its last responses are written, and writing them
 # takes some time when many requests end at once.
 SIGKILL_MARGIN_S = 2 * MAX_STALL_S + 0.05
 CLOSING_PHASE_S = 0.3  # before the end of service; connections are no longer kept alive in it
@@ -81,7 +81,7 @@
     frontend.refuse_incomplete_requests()
     await close_idle_until(frontend, service_end + CLIENT_CLOSE_WAIT_S)
     log.info(
-        "shutdown complete: %d clients without a final answer, %d requests in flight",
+        "shutdown complete: %d clients without a final response, %d requests in flight",
         sum(not connection.is_lingering() for connection in frontend.connections),
         len(open_requests),
     )
--- a/tests/node/test_program.py
+++ b/tests/node/test_program.py
@@ -1,4 +1,4 @@
-"""The program as it is run: configuration, exit codes and a planned restart."""
+"""The balancer as a process: configuration, exit codes, SIGTERM and SIGHUP."""
 
 from __future__ import annotations
 
@@ -62,11 +62,11 @@
         config_text(discovery=None),
     ],
 )
-def test_bad_configuration_is_one_line_and_exit_2(text: str | None, tmp_path: Path) -> None:
+def test_invalid_configuration_prints_one_line_and_exits_2(text: str | None, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
-    done = subprocess.run(
+    result = subprocess.run(
         COMMAND,
         cwd=ROOT,
         env={**os.environ, "NODE_CONFIG": str(path)},
@@ -74,12 +74,12 @@
         capture_output=True,
         text=True,
     )
-    assert done.returncode == 2
-    assert done.stderr.count("\n") == 1 and "Traceback" not in done.stderr
+    assert result.returncode == 2
+    assert result.stderr.count("\n") == 1 and "Traceback" not in result.stderr
 
 
 @pytest.mark.parametrize(
-    ("limits", "most"),
+    ("limits", "expected_limit"),
     [
         ({"sockets": 1024, "memory_mb": 192}, 409),
         ({"sockets": 256, "memory_mb": 192}, 102),
@@ -89,21 +89,21 @@
         ({"sockets": 16, "memory_mb": 8}, 4),
     ],
 )
-def test_connections_are_bounded_by_descriptors_and_memory(limits: dict[str, int], most: int) -> None:
-    assert config.parse(config_text(limits=limits)).max_connections == most
+def test_connection_limit_follows_descriptors_and_memory(limits: dict[str, int], expected_limit: int) -> None:
+    assert config.parse(config_text(limits=limits)).max_connections == expected_limit
 
 
-def test_no_configuration_is_one_line_and_exit_2() -> None:
-    env = {k: v for k, v in os.environ.items() if k != "NODE_CONFIG"}
-    done = subprocess.run(COMMAND, cwd=ROOT, env=env, timeout=60, capture_output=True, text=True)
-    assert (done.returncode, done.stderr.count("\n")) == (2, 1) and "NODE_CONFIG" in done.stderr
+def test_unset_node_config_prints_one_line_and_exits_2() -> None:
+    environment = {k: v for k, v in os.environ.items() if k != "NODE_CONFIG"}
+    result = subprocess.run(COMMAND, cwd=ROOT, env=environment, timeout=60, capture_output=True, text=True)
+    assert (result.returncode, result.stderr.count("\n")) == (2, 1) and "NODE_CONFIG" in result.stderr
 
 
-def test_an_address_in_use_is_one_line_and_exit_2(tmp_path: Path) -> None:
-    with socket.create_server(("127.0.0.1", 0)) as taken:
+def test_address_in_use_prints_one_line_and_exits_2(tmp_path: Path) -> None:
+    with socket.create_server(("127.0.0.1", 0)) as occupied:
         path = tmp_path / "config.json"
-        path.write_text(config_text(listen="127.0.0.1:%d" % taken.getsockname()[1]))
-        done = subprocess.run(
+        path.write_text(config_text(listen="127.0.0.1:%d" % occupied.getsockname()[1]))
+        result = subprocess.run(
             COMMAND,
             cwd=ROOT,
             env={**os.environ, "NODE_CONFIG": str(path)},
@@ -111,26 +111,29 @@
             capture_output=True,
             text=True,
         )
-    assert done.returncode == 2
-    assert done.stderr.count("\n") == 1 and "Traceback" not in done.stderr
+    assert result.returncode == 2
+    assert result.stderr.count("\n") == 1 and "Traceback" not in result.stderr
 
 
 @asynccontextmanager
 async def balancer_process(
     stub: StubServer,
-    folder: Path,
+    directory: Path,
     stderr: int | None = None,
-    longest_deadline: float = 5.0,
+    longest_client_timeout_s: float = 5.0,
     environment: Mapping[str, str] | None = None,
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, int]]:
-    """A real balancer process before one upstream; `longest_deadline` of its classes is in seconds."""
-    registry = await StubLongPollServer().start()
-    port, path = free_port(), folder / "config.json"
-    known = listing(1, True, instance("s0", stub.address))
-    given = {**configuration(registry.address, known), "listen": f"127.0.0.1:{port}"}
-    for one in given["settings"]["services"]:
-        one["deadlineNs"] = int(longest_deadline * 1e9)
-    path.write_text(json.dumps(given))
+    """Run a real balancer process that forwards to one server; yields the process and its port.
+
+    All classes get the client timeout `longest_client_timeout_s`.
+    """
+    discovery = await StubLongPollServer().start()
+    port, path = free_port(), directory / "config.json"
+    known_list = listing(1, True, instance("s0", stub.address))
+    document = {**configuration(discovery.address, known_list), "listen": f"127.0.0.1:{port}"}
+    for service in document["settings"]["services"]:
+        service["deadlineNs"] = int(longest_client_timeout_s * 1e9)
+    path.write_text(json.dumps(document))
     process = await asyncio.create_subprocess_exec(
         *COMMAND,
         cwd=ROOT,
@@ -158,26 +161,26 @@
     return StubClient(*await asyncio.open_connection("127.0.0.1", port))
 
 
-def test_sigterm_answers_all_that_was_taken_and_exits_0(tmp_path: Path) -> None:
+def test_sigterm_answers_all_accepted_requests_and_exits_0(tmp_path: Path) -> None:
     async def main() -> None:
         stub = await StubServer(never_responds).start()
         async with balancer_process(stub, tmp_path) as (process, port):
-            kept, busy, probe = await connect(port), await connect(port), await connect(port)
+            idle, busy, probe = await connect(port), await connect(port), await connect(port)
             assert "200" in (await probe.fetch(b"GET /ready HTTP/1.1\r\nHost: b\r\n\r\n")).start_line
             busy.writer.write(http_request(request_id="busy"))
             await wait_until(lambda: len(stub.requests) == 1)
             process.send_signal(signal.SIGTERM)
-            await wait_until_not_ready(probe)  # kept, and between requests: served on
-            late = await connect(port)  # still comes in, and is answered
+            await wait_until_not_ready(probe)  # an idle connection is served further
+            late_client = await connect(port)  # still accepted and answered
             stub.handler = responds_with(http_response(b"late"))
-            assert (await late.fetch(http_request("check", request_id="late"))).body == b"late"
-            for n in range(3):  # this client has nowhere else to go while the others are restarted too
-                got = await kept.fetch(http_request("check", request_id=f"kept{n}"))
-                assert got.body == b"late" and "connection" not in got.headers
+            assert (await late_client.fetch(http_request("check", request_id="late"))).body == b"late"
+            for n in range(3):  # it finds no other balancer while all of them are restarted
+                response = await idle.fetch(http_request("check", request_id=f"kept{n}"))
+                assert response.body == b"late" and "connection" not in response.headers
             stub.writers[0].write(http_response(b"at last"))
             assert (await read_message(busy.reader)).body == b"at last"
-            for caller in (kept, busy, probe, late):
-                caller.writer.close()
+            for client in (idle, busy, probe, late_client):
+                client.writer.close()
             assert await process.wait() == 0
 
     run(main())
@@ -188,7 +191,7 @@
         await asyncio.sleep(0.01)
 
 
-def test_sigterm_answers_and_lets_go_of_those_who_stay_before_it_is_killed(tmp_path: Path) -> None:
+def test_sigterm_answers_waiting_and_closes_idle_clients_before_sigkill(tmp_path: Path) -> None:
     async def main() -> None:
         stub = await StubServer(never_responds).start()
         async with balancer_process(stub, tmp_path, stderr=asyncio.subprocess.PIPE) as (process, port):
@@ -196,36 +199,36 @@
             assert "200" in (await idle.fetch(b"GET /ready HTTP/1.1\r\nHost: b\r\n\r\n")).start_line
             process.send_signal(signal.SIGTERM)
             await wait_until_not_ready(idle)
-            # It would wait for longer than the program lives.
-            got = await waiting.fetch(http_request("send", request_id="waiting", deadline_ms=5000))
-            assert int(got.start_line.split()[1]) >= 500 and got.headers["connection"] == "close"
+            # Its client timeout ends after the process has to end.
+            response = await waiting.fetch(http_request("send", request_id="waiting", deadline_ms=5000))
+            assert int(response.start_line.split()[1]) >= 500 and response.headers["connection"] == "close"
             assert await idle.reader.read() == b""
             assert process.stderr is not None
-            told = (await process.stderr.read()).decode()
+            log_text = (await process.stderr.read()).decode()
             assert (
-                "shutting down: 2 clients connected" in told
-                and "shutdown complete: 0 clients without a final answer" in told
+                "shutting down: 2 clients connected" in log_text
+                and "shutdown complete: 0 clients without a final response" in log_text
             )
             assert await process.wait() == 0
 
     run(main())
 
 
-def test_sigterm_does_not_wait_for_a_request_that_never_comes_whole(tmp_path: Path) -> None:
+def test_sigterm_does_not_wait_for_an_incomplete_request(tmp_path: Path) -> None:
     async def main() -> None:
         stub = await StubServer(never_responds).start()
         async with balancer_process(stub, tmp_path) as (process, port):
-            half = await connect(port)
-            half.writer.write(b"POST /api HTTP/1.1\r\nHost: b\r\n")
-            await half.writer.drain()
+            incomplete = await connect(port)
+            incomplete.writer.write(b"POST /api HTTP/1.1\r\nHost: b\r\n")
+            await incomplete.writer.drain()
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
-            half.writer.close()
+            incomplete.writer.close()
 
     run(main())
 
 
-def test_sigterm_with_nothing_to_do_exits_0(tmp_path: Path) -> None:
+def test_sigterm_without_open_requests_exits_0(tmp_path: Path) -> None:
     async def main() -> None:
         stub = await StubServer(never_responds).start()
         async with balancer_process(stub, tmp_path) as (process, _):
@@ -235,17 +238,19 @@
     run(main())
 
 
-# ---- a new configuration ----
+# ---- configuration reload ----
 
 
-def switch_discovery(folder: Path, registry: StubLongPollServer, process: asyncio.subprocess.Process) -> None:
-    path = folder / "config.json"
-    given = json.loads(path.read_text())
-    path.write_text(json.dumps({**given, "discovery": "%s:%d" % registry.address}))
+def switch_discovery(
+    directory: Path, discovery: StubLongPollServer, process: asyncio.subprocess.Process
+) -> None:
+    path = directory / "config.json"
+    document = json.loads(path.read_text())
+    path.write_text(json.dumps({**document, "discovery": "%s:%d" % discovery.address}))
     process.send_signal(signal.SIGHUP)
 
 
-def test_sighup_moves_to_the_new_discovery_and_keeps_all_else(tmp_path: Path) -> None:
+def test_sighup_switches_discovery_and_keeps_connections_and_requests(tmp_path: Path) -> None:
     async def main() -> None:
         stub, added = (
             await StubServer(never_responds).start(),
@@ -253,27 +258,28 @@
         )
         second, third = await StubLongPollServer().start(), await StubLongPollServer().start()
         async with balancer_process(stub, tmp_path) as (process, port):
-            busy, kept = await connect(port), await connect(port)
+            busy, idle = await connect(port), await connect(port)
             busy.writer.write(http_request(request_id="busy"))
             await wait_until(lambda: len(stub.requests) == 1)
             switch_discovery(tmp_path, second, process)
-            await wait_until(lambda: second.paths == ["/v1/endpoints"])  # whole: generations may not compare
-            switch_discovery(tmp_path, third, process)  # while the first such call is open
+            # It asks for a full list, because generations of two discovery services may not compare.
+            await wait_until(lambda: second.paths == ["/v1/endpoints"])
+            switch_discovery(tmp_path, third, process)  # while the first call there is open
             await wait_until(lambda: third.paths == ["/v1/endpoints"])
-            # Lower than the generation known before, and followed nevertheless.
+            # The new list is applied although its generation is lower than the known one.
             third.queue_json(listing(0, True, instance("s0", stub.address), instance("s1", added.address)))
             await wait_until(lambda: len(third.paths) == 2)
             assert third.paths[1].startswith("/v1/endpoints?from=0&")
             stub.writers[0].write(http_response(b"went on"))
             assert (await read_message(busy.reader)).body == b"went on"
             stub.handler = responds_with(http_response(b"warm"))
-            got = [(await kept.fetch(http_request("check", request_id=f"r{n}"))).body for n in range(20)]
-            assert {b"warm", b"added"} == set(got)
-            assert stub.closed_connections == 0  # connections from before are kept
+            bodies = [(await idle.fetch(http_request("check", request_id=f"r{n}"))).body for n in range(20)]
+            assert {b"warm", b"added"} == set(bodies)
+            assert stub.closed_connections == 0  # connections to servers are kept
             assert len(second.paths) == 1
-            process.send_signal(signal.SIGHUP)  # the same discovery: nothing changes
-            for caller in (busy, kept):
-                caller.writer.close()
+            process.send_signal(signal.SIGHUP)  # the same discovery address: no effect
+            for client in (busy, idle):
+                client.writer.close()
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
             assert len(third.paths) == 2
@@ -281,7 +287,7 @@
     run(main())
 
 
-def test_a_sighup_while_the_program_stops_harms_nothing(tmp_path: Path) -> None:
+def test_sighup_during_shutdown_does_not_disturb_it(tmp_path: Path) -> None:
     async def main() -> None:
         stub, second = await StubServer(never_responds).start(), await StubLongPollServer().start()
         async with balancer_process(stub, tmp_path) as (process, port):
@@ -296,46 +302,48 @@
             process.send_signal(signal.SIGHUP)
             stub.writers[0].write(http_response(b"at last"))
             assert (await read_message(busy.reader)).body == b"at last"
-            for caller in (busy, probe):
-                caller.writer.close()
+            for client in (busy, probe):
+                client.writer.close()
             assert await process.wait() == 0
 
     run(main())
 
 
-GIVES_BACK = """
+MEMORY_PROBE = """
 def resident():
     with open("/proc/self/statm") as file:
         return int(file.read().split()[1])
 
-size = 4 * 1024 * 1024  # the longest list
+size = 4 * 1024 * 1024  # of the longest list
 text = b"x" * size
-del text  # an allocator that adapts itself to this keeps what follows
+del text  # malloc with adaptive thresholds takes the next such block from the heap and keeps it
 before = resident()
 text = b"x" * size
-behind = bytes(3000)
+behind = bytes(3000)  # lies above the text if both are on the heap
 del text
 print((resident() - before) * 4096 < size // 2)
 """
 
 
-def test_the_memory_of_a_list_that_was_read_is_given_back() -> None:
-    """Started as the deploy file starts it, the program is not as large as its longest list for ever."""
+def test_memory_of_a_large_list_is_returned_to_the_system() -> None:
+    """With the deploy file's environment, the process does not keep the memory of its longest list."""
     command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
-    command = command.replace(".venv/bin/python -m dykeshift.node", f"{sys.executable} -c '{GIVES_BACK}'")
-    done = subprocess.run(["/bin/sh", "-c", command], capture_output=True, text=True, timeout=60)
-    assert done.stdout == "True\n"
+    command = command.replace(".venv/bin/python -m dykeshift.node", f"{sys.executable} -c '{MEMORY_PROBE}'")
+    result = subprocess.run(["/bin/sh", "-c", command], capture_output=True, text=True, timeout=60)
+    assert result.stdout == "True\n"
 
 
-def test_a_sighup_while_the_program_loads_does_not_end_it(tmp_path: Path) -> None:
-    """As the deploy file starts it; the signal comes as soon as the interpreter runs."""
+def test_sighup_during_start_up_does_not_end_the_process(tmp_path: Path) -> None:
+    """The process is started by the deploy file's command and gets the signal as soon as Python runs."""
 
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
-        registry = await StubLongPollServer().start()
+        discovery = await StubLongPollServer().start()
         port, path = free_port(), tmp_path / "config.json"
-        known = listing(1, True, instance("s0", stub.address))
-        path.write_text(json.dumps({**configuration(registry.address, known), "listen": f"127.0.0.1:{port}"}))
+        known_list = listing(1, True, instance("s0", stub.address))
+        path.write_text(
+            json.dumps({**configuration(discovery.address, known_list), "listen": f"127.0.0.1:{port}"})
+        )
         command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
         process = await asyncio.create_subprocess_exec(
             "/bin/sh",
@@ -345,15 +353,16 @@
             env={**os.environ, "NODE_CONFIG": str(path)},
         )
         try:
-            runs = "\0".join([sys.executable, "-m", "dykeshift.node", ""]).encode()  # no longer the shell
-            await wait_until(lambda: Path(f"/proc/{process.pid}/cmdline").read_bytes() == runs)
+            # The shell has been replaced by the balancer by then.
+            cmdline = "\0".join([sys.executable, "-m", "dykeshift.node", ""]).encode()
+            await wait_until(lambda: Path(f"/proc/{process.pid}/cmdline").read_bytes() == cmdline)
             process.send_signal(signal.SIGHUP)
-            await wait_until(lambda: bool(registry.paths) or process.returncode is not None)
+            await wait_until(lambda: bool(discovery.paths) or process.returncode is not None)
             assert process.returncode is None
             await wait_until_listening(port)
-            caller = await connect(port)
-            assert "200" in (await caller.fetch(http_request("check"))).start_line
-            caller.writer.close()
+            client = await connect(port)
+            assert "200" in (await client.fetch(http_request("check"))).start_line
+            client.writer.close()
         finally:
             if process.returncode is None:
                 process.kill()
@@ -362,23 +371,23 @@
     run(main())
 
 
-def test_sighup_with_a_bad_file_is_one_line_and_changes_nothing(tmp_path: Path) -> None:
+def test_sighup_with_an_invalid_file_logs_one_line_and_changes_nothing(tmp_path: Path) -> None:
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
         second = await StubLongPollServer().start()
         async with balancer_process(stub, tmp_path, stderr=asyncio.subprocess.PIPE) as (process, port):
-            path, caller = tmp_path / "config.json", await connect(port)
-            sound = path.read_text()
+            path, client = tmp_path / "config.json", await connect(port)
+            valid_text = path.read_text()
             assert process.stderr is not None
-            for bad in ("{", "", config_text(discovery="nowhere"), "[]"):
-                path.write_text(bad)
+            for invalid_text in ("{", "", config_text(discovery="nowhere"), "[]"):
+                path.write_text(invalid_text)
                 process.send_signal(signal.SIGHUP)
                 line = (await process.stderr.readline()).decode()
                 assert "the old configuration is kept" in line
                 assert (
-                    "200" in (await caller.fetch(http_request("check", request_id=str(len(line))))).start_line
+                    "200" in (await client.fetch(http_request("check", request_id=str(len(line))))).start_line
                 )
-            path.write_text(sound)
+            path.write_text(valid_text)
             switch_discovery(tmp_path, second, process)
             await wait_until(lambda: second.paths == ["/v1/endpoints"])
 
--- a/tests/node/test_shutdown_before_sigkill.py
+++ b/tests/node/test_shutdown_before_sigkill.py
@@ -79,7 +79,7 @@
     async def main() -> None:
         loop = asyncio.get_running_loop()
         stub = await StubServer(never_responds).start()
-        async with balancer_process(stub, tmp_path, longest_deadline=LONGEST_DEADLINE) as (process, port):
+        async with balancer_process(stub, tmp_path, longest_client_timeout_s=LONGEST_DEADLINE) as (process, port):
             callers = [await connect(port) for _ in range(8)]
             if held_at_signal:
                 process.send_signal(signal.SIGSTOP)
@@ -108,7 +108,7 @@
     async def main() -> None:
         loop = asyncio.get_running_loop()
         stub = await StubServer(never_responds).start()
-        async with balancer_process(stub, tmp_path, longest_deadline=LONGEST_DEADLINE) as (process, port):
+        async with balancer_process(stub, tmp_path, longest_client_timeout_s=LONGEST_DEADLINE) as (process, port):
             caller = await connect(port)
             process.send_signal(signal.SIGTERM)
             told = loop.time()
