--- a/tests/node/test_failing_calls.py
+++ b/tests/node/test_failing_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment, in a real process under the emulator's fault shim."""
+"""Transient failures of system calls, in a real process under the emulator's fault shim and in this one."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 )
 from tests.node.test_program import COMMAND, ROOT, balancer_process, config_text, connect
 
-READY_WITHIN = 10.0  # seconds
-PASSING = [
+MAX_START_S = 10.0
+TRANSIENT_FAILURES = [
     (Call.SOCKET, errno.ENFILE),
     (Call.SOCKET, errno.ENOBUFS),
     (Call.BIND, errno.ENOMEM),
@@ -39,67 +39,67 @@
 ]
 
 
-def faults(*rules: Rule) -> dict[str, str]:
+def fault_environment(*rules: Rule) -> dict[str, str]:
     return Faults(seed=7, rules=rules).environment(build_shim())
 
 
-@pytest.mark.parametrize(("failed", "error"), PASSING, ids=lambda value: str(value))
-def test_a_start_whose_calls_fail_for_a_moment_serves(failed: Call, error: int, tmp_path: Path) -> None:
-    """The process was up, took its list and never accepted a client.
-
-    The listener's one `socket` call had failed, the event loop passed over the address without an error, and
-    the program went on with no listener: a trace of its calls had no `bind` and no `listen`. Where `bind` or
-    `listen` failed it ended, though the failure was over a moment later.
+@pytest.mark.parametrize(("failing_call", "error"), TRANSIENT_FAILURES, ids=lambda value: str(value))
+def test_start_with_transient_call_failures_serves(failing_call: Call, error: int, tmp_path: Path) -> None:
+    """Guards against a process that runs and reads its server list, but never accepts a client.
+    When the listener's only `socket` call failed, the event loop silently skipped the address, and the
+    process went on without a listener: a trace of its calls had neither `bind` nor `listen`. When `bind` or
+    `listen` failed, the process ended, although the error was transient.
     """
 
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
-        environment = faults(Rule(failed, failing(error), most=3))
-        async with asyncio.timeout(READY_WITHIN):
+        environment = fault_environment(Rule(failing_call, failing(error), most=3))
+        async with asyncio.timeout(MAX_START_S):
             async with balancer_process(stub, tmp_path, environment=environment) as (_, port):
-                caller = await connect(port)
-                assert "200" in (await caller.fetch(http_request("check"))).start_line
-                caller.writer.close()
+                client = await connect(port)
+                assert "200" in (await client.fetch(http_request("check"))).start_line
+                client.writer.close()
 
     run(main())
 
 
 @pytest.mark.parametrize("error", PASSING_ERRORS[Call.ACCEPT])
-def test_accepts_that_fail_in_a_row_end_no_service_and_lose_no_client(error: int, tmp_path: Path) -> None:
-    """On EMFILE and ENFILE the event loop accepted all who waited and closed them unread.
+def test_failing_accepts_do_not_end_service_or_lose_clients(error: int, tmp_path: Path) -> None:
+    """Guards against closing pending connections unread when `accept` fails.
 
-    Their clients had sent a request by then and got no answer, with nothing in the log. The other errors did
-    no harm, and were not told either.
+    On EMFILE and ENFILE the event loop's own server accepted all pending connections and closed them. Their
+    clients had already sent a request and got no response, and nothing was logged. The other errors did no
+    harm, but were not logged either.
     """
 
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
-        environment = faults(Rule(Call.ACCEPT, failing(error), share=0.5))
+        environment = fault_environment(Rule(Call.ACCEPT, failing(error), share=0.5))
         async with balancer_process(stub, tmp_path, environment=environment, stderr=subprocess.PIPE) as (
             process,
             port,
         ):
             for number in range(30):
-                caller = await connect(port)
+                client = await connect(port)
                 assert (
-                    "200" in (await caller.fetch(http_request("check", request_id=f"r{number}"))).start_line
+                    "200" in (await client.fetch(http_request("check", request_id=f"r{number}"))).start_line
                 )
-                caller.writer.close()
+                client.writer.close()
             process.terminate()
             assert process.stderr is not None
-            told = (await process.stderr.read()).decode()
+            log_text = (await process.stderr.read()).decode()
             assert await process.wait() == 0
-            if error != errno.EINTR:  # tried again at once, by the system's own rule
-                assert f"accept failed: {os.strerror(error)}" in told
+            if error != errno.EINTR:  # Python repeats an interrupted call by itself, without an error
+                assert f"accept failed: {os.strerror(error)}" in log_text
 
     run(main())
 
 
-def test_a_start_that_cannot_listen_ends_with_one_line(tmp_path: Path) -> None:
+def test_start_that_cannot_listen_ends_with_one_line(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**json.loads(config_text()), "listen": "127.0.0.1:0"}))
-    environment = faults(Rule(Call.SOCKET, failing(errno.EACCES)))
-    done = subprocess.run(
+    environment = fault_environment(Rule(Call.SOCKET, failing(errno.EACCES)))
+    result = subprocess.run(
         COMMAND,
         cwd=ROOT,
         env={**os.environ, **environment, "NODE_CONFIG": str(path)},
@@ -107,59 +107,59 @@
         capture_output=True,
         text=True,
     )
-    assert done.returncode == 2
-    assert done.stderr.count("\n") == 1 and "cannot listen" in done.stderr
+    assert result.returncode == 2
+    assert result.stderr.count("\n") == 1 and "cannot listen" in result.stderr
 
 
-def unreadable(times: int, number: int, then: Config) -> Callable[[], Config]:
-    """Loads the configuration after so many tries to open its file have failed."""
-    left = iter(range(times))
+def load_after_read_errors(times: int, error_number: int, loaded: Config) -> Callable[[], Config]:
+    """A loader that returns `loaded` after `times` attempts to open the file have failed."""
+    remaining_failures = iter(range(times))
 
     def load() -> Config:
-        if next(left, None) is None:
-            return then
-        with patch("builtins.open", side_effect=OSError(number, os.strerror(number))):
+        if next(remaining_failures, None) is None:
+            return loaded
+        with patch("builtins.open", side_effect=OSError(error_number, os.strerror(error_number))):
             return config.load("/config.json")
 
     return load
 
 
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.ENFILE, errno.EIO, errno.ENOMEM])
-def test_a_new_configuration_that_cannot_be_read_for_a_moment_is_read_again(error: int) -> None:
-    """It was dropped with a line in the log, and nobody sends the signal once more."""
+def test_reload_is_retried_after_transient_read_errors(error: int) -> None:
+    """Guards against dropping a reload with a mere log line: the signal is not sent a second time."""
 
     async def main() -> None:
-        second = await StubLongPollServer().start()
+        new_discovery = await StubLongPollServer().start()
         async with running_balancer() as balancer:
-            moved = replace(balancer.configuration, discovery=second.address)
-            balancer.reload.load = unreadable(3, error, moved)
+            changed = replace(balancer.configuration, discovery=new_discovery.address)
+            balancer.reload.load = load_after_read_errors(3, error, changed)
             balancer.reload()
-            await wait_until(lambda: bool(second.paths))
+            await wait_until(lambda: bool(new_discovery.paths))
 
     run(main())
 
 
-def test_a_missing_configuration_is_final_at_once() -> None:
+def test_reload_of_a_missing_file_is_not_retried() -> None:
     async def main() -> None:
         async with running_balancer() as balancer:
-            balancer.reload.load = unreadable(3, errno.ENOENT, balancer.configuration)
+            balancer.reload.load = load_after_read_errors(3, errno.ENOENT, balancer.configuration)
             balancer.reload()
             assert balancer.reload.retry_timer is None
 
     run(main())
 
 
-@pytest.mark.parametrize("number", [errno.EMFILE, errno.ENOMEM])
-def test_an_event_loop_is_asked_for_again_while_descriptors_are_short(
-    number: int, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("error_number", [errno.EMFILE, errno.ENOMEM])
+def test_event_loop_creation_is_retried_while_descriptors_are_short(
+    error_number: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    made = uvloop.new_event_loop
-    failures = iter([OSError(number, os.strerror(number))] * 2)
+    create_event_loop = uvloop.new_event_loop
+    failures = iter([OSError(error_number, os.strerror(error_number))] * 2)
 
     def new_event_loop() -> asyncio.AbstractEventLoop:
         for failure in failures:
             raise failure
-        return made()
+        return create_event_loop()
 
     monkeypatch.setattr(uvloop, "new_event_loop", new_event_loop)
     startup.new_event_loop().close()
