--- a/dykeshift/node/connection.py
+++ b/dykeshift/node/connection.py
@@ -81,7 +81,11 @@
         self.response: Response | None = None
         self.idle_since = monotonic()  # not by the event loop's clock, which lags while the loop is busy
         self.last_activity = self.idle_since  # when a request was written or data received
+        # has_unwritten: part of the request has not been passed to the operating system yet.
+        # has_stray_data: a response arrived without a request.
+        # ends_at_close: the response in progress has no length and ends with the connection.
         self.has_unwritten = self.has_stray_data = self.ends_at_close = False
+        # is_reusable: the server keeps the connection open; was_used: it has had a complete response.
         self.is_reusable, self.was_used = True, False
 
     # ---- sending ----
--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -220,9 +220,8 @@
         )
         known = listing(900, True, instance("s0", old.address))
         async with running_balancer(discovery_answers=False, known=known) as balancer:
-            assert (
-                await balancer.fetch(http_request(request_id="r0"))
-            ).body == b"old"  # before discovery responds
+            # Before discovery responds, the known list is used.
+            assert (await balancer.fetch(http_request(request_id="r0"))).body == b"old"
             paths = balancer.discovery.paths
             await wait_until(lambda: len(paths) == 1)
             assert paths[0] == f"/v1/endpoints?from=900&hold_ms={LONG_POLL_MS}"
@@ -328,9 +327,8 @@
         assert len(full_list) > 1_000_000
 
         async def after_part(_: int) -> None:
-            await asyncio.sleep(
-                2 * PUSH_SILENCE_SHARE * grace / parts
-            )  # each pause is much shorter than the longest silence
+            # Each pause is much shorter than the longest silence, all together last longer.
+            await asyncio.sleep(2 * PUSH_SILENCE_SHARE * grace / parts)
 
         agent = await StubServer(responds_in_parts(full_list, parts, after_part)).start()
         async with running_balancer(
--- a/tests/node/test_reuse_delay.py
+++ b/tests/node/test_reuse_delay.py
@@ -14,7 +14,7 @@
 from dykeshift.interface import Outcome
 from dykeshift.node import upstream
 from dykeshift.node.upstream import Pool
-from tests.node.stubs import Message, StubServer, http_response, run, responds_with, wait_until
+from tests.node.stubs import Message, StubServer, http_response, responds_with, run, wait_until
 from tests.node.test_upstream import RecordedAttempt, create_pool
 
 LONG_DELAY_S = 3600.0  # longer than any test: the connection is not reused within it
@@ -107,9 +107,8 @@
         stub = await StubServer(responds_with(http_response())).start()
         pool = create_pool(stub.address)
         await open_delayed_connections(pool)
-        pool.attempts_since_extra_connection = (
-            upstream.ATTEMPTS_PER_EXTRA_CONNECTION - 1
-        )  # the attempt itself is the last
+        # The attempt itself is the last one that is needed.
+        pool.attempts_since_extra_connection = upstream.ATTEMPTS_PER_EXTRA_CONNECTION - 1
         assert (await RecordedAttempt(pool).result()).outcome is Outcome.OK
         assert len(stub.writers) == 2
 
--- a/tests/node/test_upstream.py
+++ b/tests/node/test_upstream.py
@@ -95,7 +95,7 @@
         (responds_with(http_response(b"x" * 70_000)), Outcome.RESET),
         (responds_with(CLOSE_DELIMITED_HEAD + b"body", close=True), Outcome.OK),
         (responds_with(CLOSE_DELIMITED_HEAD + b"x" * 70_000, close=True), Outcome.RESET),
-        # The end of these responses cannot be told, as the connection stays open: they are not waited for.
+        # The connection stays open, so that these would never end: they are rejected at once.
         (responds_with(b"HTTP/1.1 200 OK\r\n\r\nno length"), Outcome.RESET),
         (responds_with(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nbody"), Outcome.RESET),
         (responds_with(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbody"), Outcome.RESET),
@@ -435,9 +435,8 @@
         since = pool.upstreams[1].idle_connections[0]
         hung.attempt.abort(Outcome.TIMEOUT)
         await hung.result()
-        assert (
-            pool.upstreams[1].idle_connections == [since] and before is not since
-        )  # has had a response since
+        # `since` has had a response after the request that timed out was sent.
+        assert pool.upstreams[1].idle_connections == [since] and before is not since
         late = RecordedAttempt(pool)
         await wait_until(lambda: len(stub.requests) == 6)
         late.attempt.abort(Outcome.CANCELLED)
