--- a/dykeshift/node/driver.py
+++ b/dykeshift/node/driver.py
@@ -47,12 +47,12 @@
 
     status: int
     body: bytes
-    content_type: bytes = b"text/plain"
+    content_type: bytes = b"text/plain"  # that of the server's response, if one is passed on
     retry_after_ns: int = 0  # 0: no Retry-After header
 
 
 def response_time_limit_ns(client_timeout_ns: int, latency_target_ns: int) -> int:
-    """Time from a request's arrival by which its final response must be sent, in nanoseconds.
+    """Time after a request's arrival within which its final response must be sent, in nanoseconds.
 
     The margin for a stall never shortens the time to below the latency target: responses until then have the
     full worth, and the stall may not happen.
@@ -83,7 +83,10 @@
 
 
 class Driver:
-    """Runs the requests that the decision module decides on; all times are in nanoseconds of its clock."""
+    """Carries requests from clients to servers as the decision module decides.
+
+    All times are integers in nanoseconds of the monotonic clock.
+    """
 
     def __init__(
         self,
@@ -234,7 +237,8 @@
             content_type = result.response.headers.get(b"content-type", b"application/octet-stream")
             self._close_and_respond(open_request, ClientResponse(200, result.response.body, content_type))
         elif not open_request.closed and not open_request.is_client_waiting():
-            self.client_disconnected(open_request.request_id)  # or the module might start another one
+            # Otherwise the module might start another attempt.
+            self.client_disconnected(open_request.request_id)
         event = AttemptEnd(
             open_request.request_id,
             attempt_index,
@@ -313,7 +317,7 @@
         on_end = partial(self._on_attempt_end, open_request, attempt_index, action.server_id)
         attempt = self.pool.start_attempt(
             action.server_id,
-            open_request.client_request.message,
+            open_request.client_request.build_message,
             deadline,
             on_end,
             action.start_before,
--- a/dykeshift/node/http1.py
+++ b/dykeshift/node/http1.py
@@ -40,10 +40,10 @@
 class MessageAssembler:
     """Collects one message at a time from a parser's callbacks; subclasses handle the complete message."""
 
-    __slots__ = ("headers", "header_count", "body", "bytes_fed", "in_head", "max_body")
+    __slots__ = ("headers", "header_count", "body", "bytes_fed", "in_head", "max_body_bytes")
 
-    def __init__(self, max_body: int = MAX_BODY_BYTES) -> None:
-        self.max_body = max_body
+    def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
+        self.max_body_bytes = max_body_bytes
         self.bytes_fed = 0
         self.start_message()
 
@@ -63,7 +63,7 @@
         self.bytes_fed += size
         if self.in_head and self.bytes_fed > MAX_HEAD_BYTES:
             raise UnacceptableMessage(431)
-        if self.bytes_fed > MAX_HEAD_BYTES + MAX_CHUNKED_SIZE_MULTIPLE * self.max_body:
+        if self.bytes_fed > MAX_HEAD_BYTES + MAX_CHUNKED_SIZE_MULTIPLE * self.max_body_bytes:
             raise UnacceptableMessage(413)
 
     def on_header(self, name: bytes, value: bytes | None) -> None:
@@ -78,15 +78,14 @@
         self.in_head = False
         coding = self.headers.get(b"transfer-encoding")
         if coding is not None and coding.lower() != b"chunked":
-            raise UnacceptableMessage(
-                501
-            )  # the parser would take a body with a further coding for a plain chunked one
+            # The parser would take a body with a further coding for a plain chunked one.
+            raise UnacceptableMessage(501)
         length = self.headers.get(b"content-length", b"0")
-        if length.isdigit() and int(length) > self.max_body:
+        if length.isdigit() and int(length) > self.max_body_bytes:
             raise UnacceptableMessage(413)
 
     def on_body(self, data: bytes) -> None:
-        if len(self.body) + len(data) > self.max_body:
+        if len(self.body) + len(data) > self.max_body_bytes:
             raise UnacceptableMessage(413)
         self.body += data
 
--- a/dykeshift/node/requests.py
+++ b/dykeshift/node/requests.py
@@ -34,7 +34,7 @@
     head: bytes  # request line and headers for the server, without the value of the last one, X-Deadline-Ms
     body: bytes
 
-    def message(self, remaining_ns: int) -> bytes:
+    def build_message(self, remaining_ns: int) -> bytes:
         """The HTTP message for a server, with the time that remains until the deadline."""
         return b"%s%d\r\n\r\n%s" % (self.head, max(1, remaining_ns // 1_000_000), self.body)
 
