--- a/emulator/control/real.py
+++ b/emulator/control/real.py
@@ -18,7 +18,7 @@
 from dykeshift.node.call import HttpClient
 from emulator.control.child import report, run_child
 from emulator.control.contract import Command, InForce, Ready, RealConfig, Restart, Started, TurnedDown
-from emulator.deployment import LIMITS, start_balancer
+from emulator.deployment import BALANCER_LIMITS, start_balancer
 
 IN_FORCE = re.compile(r"settings version (\d+) is in force")
 TURNED_DOWN = re.compile(r"settings version (\d+) is turned down.*")
@@ -48,7 +48,7 @@
             "discovery": f"127.0.0.1:{self.config.discovery_port}",
             "control": f"{agent.host}:{agent.port}",
             "seed": f"{self.config.seed}-{self.number}",
-            "limits": LIMITS,
+            "limits": BALANCER_LIMITS,
             "known": None,
             "settings": {**self.config.settings, "az": 0, "me": self.number},
             "settings_version": 0,
--- a/emulator/control/supervisor.py
+++ b/emulator/control/supervisor.py
@@ -38,7 +38,7 @@
 from emulator.control.measures import Measures
 from emulator.control.process import Child
 from emulator.control.results import ChangeResult, FailedResult, RefusedResult, RunResult, StepResult
-from emulator.free_ports import free_ports
+from emulator.free_ports import find_free_ports
 
 PUBLISH_TIMEOUT = 5.0  # seconds
 PUBLISH_TRIES = 5  # of one change, under its id
@@ -60,7 +60,7 @@
         self.emit = emit
         self.folder = folder
         self.base = steps.base_settings()
-        self.addresses = AddressPlan(*free_ports(3))
+        self.addresses = AddressPlan(*find_free_ports(3))
         self.measures = Measures(scenario.balancers)
         self.machines: dict[int, Child] = {}
         self.others: list[Child] = []  # agents, hollow balancers, traffic and real balancers
--- a/emulator/control/traffic.py
+++ b/emulator/control/traffic.py
@@ -23,7 +23,7 @@
     TrafficConfig,
 )
 from emulator.control.http_server import HttpRequest, HttpResponse, HttpServer, number
-from emulator.discovery_form import Instance, Listing
+from emulator.discovery_schema import Instance, Listing
 
 SERVICE_TIME = 0.005  # seconds
 DEADLINE_MS = 2_000
--- a/emulator/deployment.py
+++ b/emulator/deployment.py
@@ -13,15 +13,16 @@
 
 from emulator.errors import BadInputError
 
-PROJECT = Path(__file__).resolve().parents[1]
-DEPLOY_FILE = PROJECT / "deploy" / "balancer.toml"
+PROJECT_ROOT = Path(__file__).resolve().parents[1]
+DEPLOY_FILE = PROJECT_ROOT / "deploy" / "balancer.toml"
 DEPLOYED_PYTHON = ".venv/bin/python"
-LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}  # of a balancer, as its configuration states them
+# Resource limits of a balancer, in the format of its configuration.
+BALANCER_LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
 
 Output = IO[bytes] | IO[str] | int
 
 
-def run_command() -> str:
+def balancer_command() -> str:
     """The deployment's own command, which sets the program's environment; run by this interpreter."""
     command: str = tomllib.loads(DEPLOY_FILE.read_text())["run"]
     if DEPLOYED_PYTHON not in command:
@@ -40,8 +41,8 @@
     return await asyncio.create_subprocess_exec(
         "/bin/sh",
         "-c",
-        run_command(),
-        cwd=PROJECT,
+        balancer_command(),
+        cwd=PROJECT_ROOT,
         env={**os.environ, **environment},
         stdin=asyncio.subprocess.DEVNULL,
         stdout=stdout,
--- a/emulator/fleet/discovery_encoding.py
+++ b/emulator/fleet/discovery_encoding.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from emulator.discovery_form import Instance, Listing
+from emulator.discovery_schema import Instance, Listing
 from emulator.fleet.contract import AddressPlan
 from emulator.fleet.discovery_list import FIRST_GENERATION, Entry, Lifecycle, ListVersion, merged, whole
 from emulator.fleet.layout import Layout, instance_id
--- a/emulator/fleet/managed_child.py
+++ b/emulator/fleet/managed_child.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from emulator.deployment import PROJECT
+from emulator.deployment import PROJECT_ROOT
 from emulator.fleet.contract import ProcessConfig, Ready, Start
 from emulator.fleet.process_logs import ProcessLog
 
@@ -56,7 +56,7 @@
                 sys.executable,
                 "-m",
                 self._module,
-                cwd=PROJECT,
+                cwd=PROJECT_ROOT,
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
                 stderr=log_file,
--- a/emulator/fleet/process.py
+++ b/emulator/fleet/process.py
@@ -18,7 +18,7 @@
 import structlog
 import uvloop
 
-from emulator.errors import EXIT_BAD_CALL, BadInputError
+from emulator.errors import EXIT_BAD_INPUT, BadInputError
 from emulator.fleet.contract import ProcessConfig, Ready, Start
 from emulator.fleet.layout import Layout, build_layout
 from emulator.fleet.scenario import Scenario, load_scenario
@@ -147,7 +147,7 @@
         uvloop.run(_run(role, build))
     except BadInputError as error:
         print(f"{role}: {error.message}", file=sys.stderr)
-        return EXIT_BAD_CALL
+        return EXIT_BAD_INPUT
     return 0
 
 
--- a/emulator/fleet/supervisor.py
+++ b/emulator/fleet/supervisor.py
@@ -19,7 +19,7 @@
 from emulator.fleet.run_record import DeadChild, MeasureLog, RunRecord
 from emulator.fleet.scenario import Scenario
 from emulator.fleet.timeline import BalancersStarted, BalancersStopped, Event, build_timeline
-from emulator.free_ports import free_ports
+from emulator.free_ports import find_free_ports
 
 SHARDS = 2
 START_DELAY_S = 0.5  # from the last `Ready` to the scenario's time 0
@@ -31,7 +31,7 @@
 
 
 def _choose_addresses(shards: int) -> AddressPlan:
-    server, agent, balancer, *shard_ports = free_ports(3 + shards)
+    server, agent, balancer, *shard_ports = find_free_ports(3 + shards)
     return AddressPlan(server, agent, balancer, tuple(shard_ports))
 
 
--- a/emulator/free_ports.py
+++ b/emulator/free_ports.py
@@ -6,7 +6,7 @@
 from contextlib import ExitStack
 
 
-def free_ports(count: int) -> tuple[int, ...]:
+def find_free_ports(count: int) -> tuple[int, ...]:
     """Ports for one run, each different from the others."""
     with ExitStack() as stack:
         return tuple(_bind_any(stack) for _ in range(count))
--- a/emulator/slopes/balancer_process.py
+++ b/emulator/slopes/balancer_process.py
@@ -12,8 +12,8 @@
 import msgspec
 import psutil
 
-from emulator.deployment import LIMITS, start_balancer
-from emulator.free_ports import free_ports
+from emulator.deployment import BALANCER_LIMITS, start_balancer
+from emulator.free_ports import find_free_ports
 from emulator.slopes.client import Address, Pinger
 from emulator.slopes.standins import LOCALHOST
 
@@ -89,7 +89,7 @@
 ) -> AsyncIterator[BalancerProcess]:
     """Start the program with these settings, and stop it in the end."""
     with tempfile.TemporaryDirectory(prefix="slopes-") as folder:
-        (port,) = free_ports(1)
+        (port,) = find_free_ports(1)
         address = (LOCALHOST, port)
         config, log = Path(folder, "config.json"), Path(folder, "log")
         listen, discovery = f"{LOCALHOST}:{address[1]}", f"{LOCALHOST}:{agent_port}"
@@ -98,7 +98,7 @@
             "listen": listen,
             "discovery": discovery,
             "seed": f"{seed:016x}",
-            "limits": LIMITS,
+            "limits": BALANCER_LIMITS,
             "settings": settings,
         }
         config.write_bytes(msgspec.json.encode(configuration))
--- a/emulator/slopes/deployment.py
+++ b/emulator/slopes/deployment.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from dykeshift.interface import ServerEntry, ServerState
-from emulator.discovery_form import Instance, Listing
+from emulator.discovery_schema import Instance, Listing
 from emulator.slopes.sizes import Scale
 
 MILLISECOND = 1_000_000
--- a/emulator/slopes/process_role.py
+++ b/emulator/slopes/process_role.py
@@ -9,7 +9,7 @@
 import msgspec
 import psutil
 
-from emulator.deployment import PROJECT
+from emulator.deployment import PROJECT_ROOT
 from emulator.slopes.rig import Job, Result
 from emulator.slopes.roles import Effort, Figure, MeasurementError, Role
 from emulator.slopes.sizes import SMALL_CUSTOMER, TARGET, Axis, Scale
@@ -25,7 +25,7 @@
         [sys.executable, "-m", "emulator.slopes.rig"],
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
-        cwd=PROJECT,
+        cwd=PROJECT_ROOT,
         start_new_session=True,  # SIGINT from a terminal reaches the command alone, which ends the rig
     )
     assert process.stdin is not None and process.stdout is not None
--- a/emulator/slopes/standins.py
+++ b/emulator/slopes/standins.py
@@ -10,7 +10,7 @@
 import httptools
 import msgspec
 
-from emulator.discovery_form import Listing
+from emulator.discovery_schema import Listing
 from emulator.slopes.deployment import one_change, server_host, whole_list
 
 SERVICE_SECONDS = 0.02  # that a photo server holds each request
--- a/emulator/soak/balancers.py
+++ b/emulator/soak/balancers.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from emulator.deployment import LIMITS, start_balancer
-from emulator.faults.shim import Call, Faults
+from emulator.deployment import BALANCER_LIMITS, start_balancer
+from emulator.faults.shim import Faults, SystemCall
 from emulator.free_ports import reserve_port
 from emulator.soak.connections import PEER_GONE
 from emulator.soak.discovery import Discovery
@@ -85,7 +85,7 @@
                 "listen": "{}:{}".format(*self.address),
                 "discovery": f"{host}:{port}",
                 "seed": f"{self.plan.seed}/{self.number}",
-                "limits": LIMITS,
+                "limits": BALANCER_LIMITS,
                 "known": known,
                 "settings": {**self.plan.settings(), "me": self.number},
             }
@@ -141,7 +141,7 @@
         One that the shim holds up now and then is left alone: the terms know of one hold at a time.
         """
         held, now = self.process, time.monotonic()
-        held_by_shim = any(rule.call is Call.CLOCK for rule in self.plan.faults[self.number].rules)
+        held_by_shim = any(rule.call is SystemCall.CLOCK for rule in self.plan.faults[self.number].rules)
         if held is not None and not held_by_shim and self.may_be_held and now > self.held_at + HOLDS_APART_S:
             self.held_at = now
             self._signal(signal.SIGSTOP)
@@ -175,4 +175,4 @@
 
 def shim_environment(faults: Faults, library: Path) -> dict[str, str]:
     """What the shim needs, or nothing where nothing is to fail."""
-    return faults.environment(library) if faults.rules or faults.steps else {}
+    return faults.environment(library) if faults.rules or faults.clock_steps else {}
--- a/emulator/soak/command.py
+++ b/emulator/soak/command.py
@@ -11,7 +11,7 @@
 import click
 
 from emulator.errors import BarFailedError
-from emulator.faults.shim import CompilerMissingError
+from emulator.faults.shim import ShimBuildError
 from emulator.soak.rules import Rule
 from emulator.soak.run import Result, run_seed
 
@@ -60,7 +60,7 @@
                     broken += bool(result.breaches)
                     for line in describe(result):
                         click.echo(line)
-            except CompilerMissingError as error:
+            except ShimBuildError as error:
                 raise click.ClickException(str(error)) from None
             finally:  # those that play end by themselves, the others are not begun
                 pool.shutdown(wait=False, cancel_futures=True)
--- a/emulator/soak/discovery.py
+++ b/emulator/soak/discovery.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from emulator.discovery_form import Instance, Listing
+from emulator.discovery_schema import Instance, Listing
 from emulator.soak.connections import CONNECTION_OVER
 from emulator.soak.plants import Plant
 from emulator.soak.records import Journal, Told
--- a/emulator/soak/plan.py
+++ b/emulator/soak/plan.py
@@ -9,14 +9,14 @@
 
 from emulator.faults.proxy import UNTOUCHED, Tampering
 from emulator.faults.shim import (
-    PASSING_ERRORS,
-    SHORT,
-    Call,
+    SHORT_TRANSFER,
+    TRANSIENT_ERRORS_BY_CALL,
     ClockStep,
+    FaultRule,
     Faults,
-    Rule,
-    failing,
-    held_up,
+    SystemCall,
+    fail_with,
+    stall_for,
 )
 from emulator.soak.clients import CLASSES, Habits
 from emulator.soak.records import Effect
@@ -35,7 +35,14 @@
 HOLD_MS = 90  # that it is held up at a reading of its clock, as often as the share below says
 HOLD_SHARE = 0.0004
 CALL_SHARES = (0.01, 0.1, 0.3)
-FAULTY_CALLS = (Call.ACCEPT, Call.SOCKET, Call.CONNECT, Call.RECV, Call.SEND, Call.WAIT)
+FAULTY_CALLS = (
+    SystemCall.ACCEPT,
+    SystemCall.SOCKET,
+    SystemCall.CONNECT,
+    SystemCall.RECV,
+    SystemCall.SEND,
+    SystemCall.WAIT,
+)
 
 
 class Action(enum.Enum):
@@ -228,20 +235,21 @@
 
 def _draw_faults(random: Random, seed: int) -> Faults:
     """What the shim does to the processes of one balancer: nothing, to a third of them."""
-    rules: list[Rule] = []
-    steps: list[ClockStep] = []
+    rules: list[FaultRule] = []
+    clock_steps: list[ClockStep] = []
     if random.random() < 0.67:
         for call in random.sample(FAULTY_CALLS, random.randint(1, 3)):
             share = random.choice(CALL_SHARES)
             rules += [
-                Rule(call, failing(error), share / 3) for error in random.sample(PASSING_ERRORS[call], 1)
+                FaultRule(call, fail_with(error), share / 3)
+                for error in random.sample(TRANSIENT_ERRORS_BY_CALL[call], 1)
             ]
-        for call in (Call.RECV, Call.SEND):
+        for call in (SystemCall.RECV, SystemCall.SEND):
             if random.random() < 0.2:
-                rules.append(Rule(call, SHORT, 0.02))
+                rules.append(FaultRule(call, SHORT_TRANSFER, 0.02))
         if random.random() < 0.4:
-            rules.append(Rule(Call.CLOCK, held_up(HOLD_MS), HOLD_SHARE, most=20))
+            rules.append(FaultRule(SystemCall.CLOCK, stall_for(HOLD_MS), HOLD_SHARE, max_faults=20))
     if random.random() < 0.5:
         off_s = random.choice([-HOUR_S, -5, 5, HOUR_S])
-        steps.append(ClockStep(random.choice([0, random.randint(1000, 6000)]), off_s))
-    return Faults(seed, tuple(rules), tuple(steps))
+        clock_steps.append(ClockStep(random.choice([0, random.randint(1000, 6000)]), off_s))
+    return Faults(seed, tuple(rules), tuple(clock_steps))
--- a/tests/emulator/test_control_plane.py
+++ b/tests/emulator/test_control_plane.py
@@ -28,7 +28,7 @@
     Record,
 )
 from emulator.control.replica import Outcome, Replica, Step, Verdict
-from emulator.free_ports import free_ports
+from emulator.free_ports import find_free_ports
 
 MACHINES = 3
 TICK = 0.02
@@ -383,7 +383,7 @@
     """The machine's ticks ended with the first failure, in silence; its replica went on without its log."""
 
     async def main() -> None:
-        ports = free_ports(3)
+        ports = find_free_ports(3)
         addresses = AddressPlan(machine_port=ports[0], agent_port=ports[1], balancer_port=ports[2])
         config = MachineConfig(
             index=0, machines=3, addresses=addresses, seed=1, log_path=str(tmp_path / "log")
@@ -457,7 +457,7 @@
         return await self.history.answer(request)
 
     async def start(self) -> AddressPlan:
-        (port,) = free_ports(1)
+        (port,) = find_free_ports(1)
         await HttpServer(self.handle).listen(AddressPlan(port, 0, 0).machine(1).host, port)
         return AddressPlan(port, 0, 0)
 
--- a/tests/emulator/test_control_scenario.py
+++ b/tests/emulator/test_control_scenario.py
@@ -23,7 +23,7 @@
 from emulator.control.process import Child
 from emulator.control.results import RunResult, missed_bars
 from emulator.control.scenario import DEFAULT, QUICK, base_settings, load
-from emulator.free_ports import free_ports
+from emulator.free_ports import find_free_ports
 
 S = 1_000_000_000
 COMMAND = [sys.executable, "-m", "emulator", "control"]
@@ -182,7 +182,7 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.addresses = AddressPlan(*free_ports(3))
+        self.addresses = AddressPlan(*find_free_ports(3))
         self.children: dict[int, Child] = {}
 
     async def start(self, index: int, crash_after: int = 0) -> None:
--- a/tests/emulator/test_fault_shim.py
+++ b/tests/emulator/test_fault_shim.py
@@ -10,7 +10,16 @@
 
 import pytest
 
-from emulator.faults.shim import SHORT, Call, ClockStep, Faults, Rule, build_shim, failing, held_up
+from emulator.faults.shim import (
+    SHORT_TRANSFER,
+    ClockStep,
+    FaultRule,
+    Faults,
+    SystemCall,
+    build_shim,
+    fail_with,
+    stall_for,
+)
 
 TRY_SOCKET = """
 import socket
@@ -48,16 +57,18 @@
 
 
 def test_a_call_fails_so_many_times_with_its_errno_and_each_is_traced(tmp_path: Path) -> None:
-    trace = tmp_path / "trace"
-    faults = Faults(rules=(Rule(Call.SOCKET, failing(errno.ENFILE), most=2),), trace=trace)
+    trace_path = tmp_path / "trace"
+    faults = Faults(
+        rules=(FaultRule(SystemCall.SOCKET, fail_with(errno.ENFILE), max_faults=2),), trace_path=trace_path
+    )
     assert output(TRY_SOCKET, faults) == [str(errno.ENFILE)] * 2 + ["open"]
-    assert [line.split()[1:] for line in trace.read_text().splitlines()] == [["socket", "E23"]] * 2
+    assert [line.split()[1:] for line in trace_path.read_text().splitlines()] == [["socket", "E23"]] * 2
 
 
 def test_the_share_that_fails_follows_from_the_seed() -> None:
     ends = set()
     for seed in range(8):
-        faults = Faults(seed, (Rule(Call.SOCKET, failing(errno.EMFILE), share=0.5),))
+        faults = Faults(seed, (FaultRule(SystemCall.SOCKET, fail_with(errno.EMFILE), share=0.5),))
         assert output(TRY_SOCKET, faults) == output(TRY_SOCKET, faults)
         ends.add(tuple(output(TRY_SOCKET, faults)))
     assert len(ends) > 1
@@ -65,21 +76,24 @@
 
 @pytest.mark.parametrize("offset", [-3600, 5, 3600])
 def test_the_wall_clock_is_stepped_and_no_other(offset: int) -> None:
-    wall, monotonic = output(WALL_CLOCK, Faults(steps=(ClockStep(0, offset),)))[0].split()
+    wall, monotonic = output(WALL_CLOCK, Faults(clock_steps=(ClockStep(0, offset),)))[0].split()
     assert abs(int(wall) - time.time() - offset) < 3 and abs(float(monotonic) - time.monotonic()) < 3
 
 
 def test_reads_are_short() -> None:
-    assert output(SHORT_READS, Faults(rules=(Rule(Call.RECV, SHORT),))) == ["b'a' b'b'"]
+    assert output(SHORT_READS, Faults(rules=(FaultRule(SystemCall.RECV, SHORT_TRANSFER),))) == ["b'a' b'b'"]
 
 
 def test_the_process_is_held_up_behind_a_reading_of_its_clock() -> None:
-    rule = Rule(Call.CLOCK, held_up(200), most=1)
+    rule = FaultRule(SystemCall.CLOCK, stall_for(200), max_faults=1)
     began = time.monotonic()
     output("import time; time.monotonic()", Faults(rules=(rule,)))
     assert time.monotonic() - began > 0.2
 
 
 def test_writes_and_syncs_of_files_fail(tmp_path: Path) -> None:
-    rules = (Rule(Call.WRITE, failing(errno.ENOSPC)), Rule(Call.SYNC, failing(errno.EIO)))
+    rules = (
+        FaultRule(SystemCall.WRITE, fail_with(errno.ENOSPC)),
+        FaultRule(SystemCall.SYNC, fail_with(errno.EIO)),
+    )
     assert output(FILE_WRITE, Faults(rules=rules), str(tmp_path / "file")) == ["28", "5"]
--- a/tests/emulator/test_slopes.py
+++ b/tests/emulator/test_slopes.py
@@ -19,7 +19,7 @@
 from click.testing import CliRunner
 
 from emulator.cli import main
-from emulator.deployment import DEPLOY_FILE, DEPLOYED_PYTHON, run_command
+from emulator.deployment import DEPLOY_FILE, DEPLOYED_PYTHON, balancer_command
 from emulator.slopes import campaign as campaign_module
 from emulator.slopes import command as command_module
 from emulator.slopes import discovery_role, module_role, server_role
@@ -241,5 +241,5 @@
     """With the environment that it sets, so that what is measured is what runs."""
     line = tomllib.loads(DEPLOY_FILE.read_text())["run"]
     before, _, after = line.partition(DEPLOYED_PYTHON)
-    assert run_command() == f"{before}{sys.executable}{after}"
+    assert balancer_command() == f"{before}{sys.executable}{after}"
     assert "MALLOC_" in before and after == " -m dykeshift.node"
--- a/tests/emulator/test_standins.py
+++ b/tests/emulator/test_standins.py
@@ -36,7 +36,7 @@
 from emulator.fleet.photo_server_process import PhotoServerPart
 from emulator.fleet.process import Clock, Fleet, TimelinePlayer
 from emulator.fleet.scenario import Scenario, load_scenario
-from emulator.free_ports import free_ports
+from emulator.free_ports import find_free_ports
 
 QUICK = Path(__file__).parents[2] / "emulator" / "scenarios" / "quick.toml"
 PATIENCE_S = 10.0  # only a test that has failed waits for so long
@@ -245,7 +245,7 @@
 
 
 def fleet(given: Scenario, *timeline: events.Event) -> Fleet:
-    server, agent, balancer, shard = free_ports(4)
+    server, agent, balancer, shard = find_free_ports(4)
     addresses = AddressPlan(server, agent, balancer, (shard,))
     return Fleet(ProcessConfig("", 1, 0, 1, addresses), given, build_layout(given, 1), timeline)
 
--- a/tests/emulator/test_timeline.py
+++ b/tests/emulator/test_timeline.py
@@ -14,7 +14,7 @@
 from dykeshift.node import config
 from dykeshift.node.listing import ListReader
 from dykeshift.settings import parse_settings
-from emulator.discovery_form import Listing
+from emulator.discovery_schema import Listing
 from emulator.fleet import timeline as events
 from emulator.fleet.contract import AddressPlan
 from emulator.fleet.discovery_encoding import InstanceWriter, RegionEncoder, known_list
--- a/tests/node/test_failing_calls.py
+++ b/tests/node/test_failing_calls.py
@@ -17,7 +17,14 @@
 
 from dykeshift.node import config, startup
 from dykeshift.node.config import Config
-from emulator.faults.shim import PASSING_ERRORS, Call, Faults, Rule, build_shim, failing
+from emulator.faults.shim import (
+    TRANSIENT_ERRORS_BY_CALL,
+    FaultRule,
+    Faults,
+    SystemCall,
+    build_shim,
+    fail_with,
+)
 from tests.node.stubs import (
     StubLongPollServer,
     StubServer,
@@ -32,19 +39,21 @@
 
 MAX_START_S = 10.0
 TRANSIENT_FAILURES = [
-    (Call.SOCKET, errno.ENFILE),
-    (Call.SOCKET, errno.ENOBUFS),
-    (Call.BIND, errno.ENOMEM),
-    (Call.LISTEN, errno.EADDRINUSE),
+    (SystemCall.SOCKET, errno.ENFILE),
+    (SystemCall.SOCKET, errno.ENOBUFS),
+    (SystemCall.BIND, errno.ENOMEM),
+    (SystemCall.LISTEN, errno.EADDRINUSE),
 ]
 
 
-def fault_environment(*rules: Rule) -> dict[str, str]:
+def fault_environment(*rules: FaultRule) -> dict[str, str]:
     return Faults(seed=7, rules=rules).environment(build_shim())
 
 
 @pytest.mark.parametrize(("failing_call", "error"), TRANSIENT_FAILURES, ids=lambda value: str(value))
-def test_start_with_transient_call_failures_serves(failing_call: Call, error: int, tmp_path: Path) -> None:
+def test_start_with_transient_call_failures_serves(
+    failing_call: SystemCall, error: int, tmp_path: Path
+) -> None:
     """Guards against a process that runs and reads its server list, but never accepts a client.
     When the listener's only `socket` call failed, the event loop silently skipped the address, and the
     process went on without a listener: a trace of its calls had neither `bind` nor `listen`. When `bind` or
@@ -53,7 +62,7 @@
 
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
-        environment = fault_environment(Rule(failing_call, failing(error), most=3))
+        environment = fault_environment(FaultRule(failing_call, fail_with(error), max_faults=3))
         async with asyncio.timeout(MAX_START_S):
             async with balancer_process(stub, tmp_path, environment=environment) as (_, port):
                 client = await connect(port)
@@ -63,7 +72,7 @@
     run(main())
 
 
-@pytest.mark.parametrize("error", PASSING_ERRORS[Call.ACCEPT])
+@pytest.mark.parametrize("error", TRANSIENT_ERRORS_BY_CALL[SystemCall.ACCEPT])
 def test_failing_accepts_do_not_end_service_or_lose_clients(error: int, tmp_path: Path) -> None:
     """Guards against closing pending connections unread when `accept` fails.
 
@@ -74,7 +83,7 @@
 
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
-        environment = fault_environment(Rule(Call.ACCEPT, failing(error), share=0.5))
+        environment = fault_environment(FaultRule(SystemCall.ACCEPT, fail_with(error), share=0.5))
         async with balancer_process(stub, tmp_path, environment=environment, stderr=subprocess.PIPE) as (
             process,
             port,
@@ -98,7 +107,7 @@
 def test_start_that_cannot_listen_ends_with_one_line(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**json.loads(config_text()), "listen": "127.0.0.1:0"}))
-    environment = fault_environment(Rule(Call.SOCKET, failing(errno.EACCES)))
+    environment = fault_environment(FaultRule(SystemCall.SOCKET, fail_with(errno.EACCES)))
     result = subprocess.run(
         COMMAND,
         cwd=ROOT,
