--- a/emulator/control/child.py
+++ b/emulator/control/child.py
@@ -14,12 +14,12 @@
 
 Config = TypeVar("Config", bound=msgspec.Struct)
 
-MAX_LINE = 4 * 1024 * 1024  # bytes
+MAX_LINE_BYTES = 4 * 1024 * 1024  # bytes
 
 _command: msgspec.json.Decoder[Command] = msgspec.json.Decoder(Command)
 
 
-def report(message: Report) -> None:
+def send_report(message: Report) -> None:
     """Print one report."""
     sys.stdout.buffer.write(msgspec.json.encode(message) + b"\n")
     sys.stdout.buffer.flush()
@@ -27,7 +27,7 @@
 
 async def _open_input() -> asyncio.StreamReader:
     loop = asyncio.get_running_loop()
-    reader = asyncio.StreamReader(limit=MAX_LINE)
+    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     return reader
 
--- a/emulator/control/command.py
+++ b/emulator/control/command.py
@@ -14,7 +14,7 @@
 from emulator.control import supervisor
 from emulator.control.process import ChildFailedError
 from emulator.control.results import RunResult, StepResult, missed_bars
-from emulator.control.scenario import DEFAULT, QUICK, Scenario, load
+from emulator.control.scenario import FULL_SCENARIO_PATH, QUICK_SCENARIO_PATH, Scenario, load_scenario
 from emulator.control.supervisor import StepFailedError
 from emulator.errors import BarFailedError
 
@@ -63,7 +63,7 @@
 
     SCENARIO is a TOML file; without one, the scenario that comes with the emulator is run.
     """
-    wanted = load(scenario or (QUICK if quick else DEFAULT))
+    wanted = load_scenario(scenario or (QUICK_SCENARIO_PATH if quick else FULL_SCENARIO_PATH))
     try:
         result = asyncio.run(_run(wanted))
     except asyncio.CancelledError:
--- a/emulator/control/contract.py
+++ b/emulator/control/contract.py
@@ -22,15 +22,15 @@
     agent_port: int
     balancer_port: int
 
-    def machine(self, number: int) -> Address:
+    def machine_address(self, number: int) -> Address:
         """Where control machine `number` listens."""
         return loopback(MACHINE_BLOCK, number, self.machine_port)
 
-    def agent(self, balancer: int) -> Address:
+    def agent_address(self, balancer: int) -> Address:
         """Where the agent on the machine of this balancer listens."""
         return loopback(AGENT_BLOCK, balancer, self.agent_port)
 
-    def balancer(self, number: int) -> Address:
+    def balancer_address(self, number: int) -> Address:
         """Where a real balancer listens."""
         return loopback(BALANCER_BLOCK, number, self.balancer_port)
 
--- a/emulator/control/durable_log.py
+++ b/emulator/control/durable_log.py
@@ -17,46 +17,48 @@
 
 from emulator.control.messages import Record
 
-HEADER = struct.Struct("!II")  # length and checksum of the record that follows
-MAX_RECORD = 16 * 1024 * 1024  # bytes; a longer one is taken for a torn header
+RECORD_HEADER = struct.Struct("!II")  # length and checksum of the record that follows
+MAX_RECORD_BYTES = 16 * 1024 * 1024  # bytes; a longer one is taken for a torn header
 
 _decoder: msgspec.msgpack.Decoder[Record] = msgspec.msgpack.Decoder(Record)
 
-FaultPoint = Callable[[str], None]  # called at each point at which a crash is of interest; tests raise there
+FaultPointHook = Callable[
+    [str], None
+]  # called at each point at which a crash is of interest; tests raise there
 
 
-def no_fault(point: str) -> None:
+def ignore_fault_point(point: str) -> None:
     """The fault point of a machine that does not crash."""
 
 
-def encode(record: Record) -> bytes:
+def encode_record(record: Record) -> bytes:
     """The record as it stands in the file."""
     body = msgspec.msgpack.encode(record)
-    return HEADER.pack(len(body), zlib.crc32(body)) + body
+    return RECORD_HEADER.pack(len(body), zlib.crc32(body)) + body
 
 
-def decode(data: bytes) -> tuple[list[Record], int]:
+def decode_records(data: bytes) -> tuple[list[Record], int]:
     """All whole records from the start, and the length that they take up."""
     records: list[Record] = []
     end = 0
-    while end + HEADER.size <= len(data):
-        length, checksum = HEADER.unpack_from(data, end)
-        body = data[end + HEADER.size : end + HEADER.size + length]
-        if length > MAX_RECORD or len(body) < length or zlib.crc32(body) != checksum:
+    while end + RECORD_HEADER.size <= len(data):
+        length, checksum = RECORD_HEADER.unpack_from(data, end)
+        body = data[end + RECORD_HEADER.size : end + RECORD_HEADER.size + length]
+        if length > MAX_RECORD_BYTES or len(body) < length or zlib.crc32(body) != checksum:
             break
         records.append(_decoder.decode(body))
-        end += HEADER.size + length
+        end += RECORD_HEADER.size + length
     return records, end
 
 
 class DurableLog:
     """The log of one machine; `records` is what was found in it as it was opened."""
 
-    def __init__(self, path: Path, reach: FaultPoint = no_fault) -> None:
-        self.reach = reach
+    def __init__(self, path: Path, on_fault_point: FaultPointHook = ignore_fault_point) -> None:
+        self.on_fault_point = on_fault_point
         is_new = not path.exists()
         self.file = open(path, "r+b" if not is_new else "w+b", buffering=0)  # noqa: SIM115
-        self.records, end = decode(self.file.read())
+        self.records, end = decode_records(self.file.read())
         self.end = end  # of the records that are durable, in bytes
         self.unfinished = True  # there may be bytes behind that end
         self._cut_off_unfinished()
@@ -77,17 +79,17 @@
         """Write these; on return they are durable. OSError: they may be not, and may be tried again."""
         if not records:
             return
-        data = b"".join(map(encode, records))
+        data = b"".join(map(encode_record, records))
         half = len(data) // 2
         self._cut_off_unfinished()
         self.unfinished = True
-        self.reach("before the write")
+        self.on_fault_point("before the write")
         self._write(data[:half])
-        self.reach("in the middle of the write")
+        self.on_fault_point("in the middle of the write")
         self._write(data[half:])
-        self.reach("before the sync")
+        self.on_fault_point("before the sync")
         os.fsync(self.file.fileno())
-        self.reach("after the sync")
+        self.on_fault_point("after the sync")
         self.unfinished = False
         self.end += len(data)
 
--- a/emulator/control/hollow.py
+++ b/emulator/control/hollow.py
@@ -35,7 +35,7 @@
 from dykeshift.node.settings_watch import SettingsWatch
 from dykeshift.rules import Balancer
 from dykeshift.settings import parse_settings
-from emulator.control.child import report, run_child
+from emulator.control.child import run_child, send_report
 from emulator.control.contract import (
     Command,
     Finish,
@@ -70,12 +70,12 @@
     def on_applied(self, version: int) -> None:
         """Say so, with the time."""
         super().on_applied(version)
-        report(InForce(self.balancer, version, time.monotonic_ns()))
+        send_report(InForce(self.balancer, version, time.monotonic_ns()))
 
     def reject(self, version: int, reason: str) -> Reject:
         """Say so, with the reason."""
         reject = super().reject(version, reason)
-        report(TurnedDown(self.balancer, version, reject.reason))
+        send_report(TurnedDown(self.balancer, version, reject.reason))
         return reject
 
 
@@ -115,7 +115,7 @@
         self.random = Random(seed)
         base = {**config.settings, "az": 0, "me": number}
         self.module = Balancer(parse(base), seed)
-        address = config.addresses.agent(number)
+        address = config.addresses.agent_address(number)
         control = ReportingControl(number, base, seed)
         self.watch = SettingsWatch(self.loop, (address.host, address.port), control, self._put_in_force)
         self.open: dict[str, OpenRequest] = {}
@@ -143,7 +143,7 @@
         ]
         self._do(self.module.on_list(now, ServerListUpdate(ListKind.FULL, tuple(entries))))
         await self.watch.wait_until_up_to_date()
-        report(Started(self.number, self.watch.control.version, time.monotonic_ns()))
+        send_report(Started(self.number, self.watch.control.version, time.monotonic_ns()))
         while self.config.requests_per_s:
             await asyncio.sleep(self.random.uniform(0.5, 1.5) / self.config.requests_per_s)
             self._submit()
@@ -186,7 +186,7 @@
         request = self.open[name]
         reasons = " ".join(f"{reason}:{n}" for reason, n in self.module.give_up_counts.items())
         after_ms = (time.monotonic_ns() - request.arrived) / 1e6
-        report(RequestFailed(self.number, f"{what}, {reasons}", after_ms))
+        send_report(RequestFailed(self.number, f"{what}, {reasons}", after_ms))
 
     def _timer(self, token: str) -> None:
         if self.alive:
@@ -258,19 +258,19 @@
         until = asyncio.get_running_loop().time() + longest / 1e9
         while asyncio.get_running_loop().time() < until and self.request_totals().lost:
             await asyncio.sleep(0.05)
-        report(self.request_totals())
+        send_report(self.request_totals())
 
 
 async def main(config: HollowConfig, commands: AsyncIterator[Command]) -> None:
     """Run all balancers until the commands end."""
     logging.disable(logging.ERROR)  # what would be logged is reported
     process = HollowProcess(config)
-    report(Ready())
+    send_report(Ready())
     async for command in commands:
         if isinstance(command, Restart):
             process.restart(command.balancers)
         elif isinstance(command, Measure):
-            report(process.request_totals())
+            send_report(process.request_totals())
         elif isinstance(command, Finish):
             await process.finish()
 
--- a/emulator/control/http_server.py
+++ b/emulator/control/http_server.py
@@ -45,7 +45,7 @@
 Handler = Callable[[HttpRequest], Awaitable[HttpResponse]]
 
 
-def number(request: HttpRequest, name: str, default: int) -> int:
+def query_int(request: HttpRequest, name: str, default: int) -> int:
     """A whole number from the query, or the default where it is absent or none."""
     text = request.query.get(name, "")
     return int(text) if text.isascii() and text.isdecimal() else default
--- a/emulator/control/process.py
+++ b/emulator/control/process.py
@@ -10,7 +10,7 @@
 import msgspec
 import psutil
 
-from emulator.control.child import MAX_LINE
+from emulator.control.child import MAX_LINE_BYTES
 from emulator.control.contract import Command, Ready, Report
 
 START_TIMEOUT = 30.0  # seconds
@@ -23,7 +23,7 @@
     """A child ended that should not have; its message names it."""
 
 
-class Child:
+class ChildProcess:
     """Runs a module, gives it its configuration, and hands on what it reports."""
 
     def __init__(self, module: str, config: msgspec.Struct, on_report: Callable[[Report], None]) -> None:
@@ -42,7 +42,7 @@
             self.module,
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
-            limit=MAX_LINE,
+            limit=MAX_LINE_BYTES,
             start_new_session=True,  # an interrupt from the terminal is the supervisor's to pass on
         )
         assert self.process.stdout is not None
@@ -55,7 +55,7 @@
         assert self.process is not None and self.process.stdin is not None
         self.process.stdin.write(msgspec.json.encode(message) + b"\n")
 
-    def tell(self, command: Command) -> None:
+    def send_command(self, command: Command) -> None:
         """Give it a command."""
         self._write(command)
 
@@ -81,7 +81,7 @@
             self.process.kill()
             await self.process.wait()
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         """End its input, and wait until it is gone."""
         if self.process is None or self.process.returncode is not None:
             return
--- a/emulator/control/real.py
+++ b/emulator/control/real.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from dykeshift.node.call import HttpClient
-from emulator.control.child import report, run_child
+from emulator.control.child import run_child, send_report
 from emulator.control.contract import Command, InForce, Ready, RealConfig, Restart, Started, TurnedDown
 from emulator.deployment import BALANCER_LIMITS, start_balancer
 
@@ -41,7 +41,7 @@
 
     def _configuration(self) -> dict[str, Any]:
         addresses = self.config.addresses
-        listen, agent = addresses.balancer(self.number), addresses.agent(self.number)
+        listen, agent = addresses.balancer_address(self.number), addresses.agent_address(self.number)
         return {
             "name": f"n{self.number}",
             "listen": f"{listen.host}:{listen.port}",
@@ -63,18 +63,18 @@
         assert self.process.stderr is not None
         self.reading = asyncio.create_task(self._read(self.process.stderr))
         await self._wait_ready()
-        report(Started(self.number, self.version, time.monotonic_ns()))
+        send_report(Started(self.number, self.version, time.monotonic_ns()))
 
     async def _read(self, log: asyncio.StreamReader) -> None:
         while line := (await log.readline()).decode(errors="replace"):
             if match := IN_FORCE.search(line):
                 self.version = int(match[1])
-                report(InForce(self.number, self.version, time.monotonic_ns()))
+                send_report(InForce(self.number, self.version, time.monotonic_ns()))
             elif match := TURNED_DOWN.search(line):
-                report(TurnedDown(self.number, int(match[1]), match[0]))
+                send_report(TurnedDown(self.number, int(match[1]), match[0]))
 
     async def _wait_ready(self) -> None:
-        address = self.config.addresses.balancer(self.number)
+        address = self.config.addresses.balancer_address(self.number)
         caller = HttpClient(asyncio.get_running_loop(), (address.host, address.port), 1024)
         async with asyncio.timeout(READY_TIMEOUT):
             while True:
@@ -112,7 +112,7 @@
         balancers = {n: RealBalancer(n, config, Path(folder)) for n in config.balancers}
         try:
             await asyncio.gather(*(balancer.start() for balancer in balancers.values()))
-            report(Ready())
+            send_report(Ready())
             async for command in commands:
                 if isinstance(command, Restart):
                     await asyncio.gather(*(balancers[n].restart() for n in command.balancers))
--- a/emulator/control/replica.py
+++ b/emulator/control/replica.py
@@ -44,7 +44,7 @@
     """What became of a change."""
 
     ACCEPTED = auto()
-    TURNED_DOWN = auto()  # this submission left no trace at any machine
+    REJECTED = auto()  # this submission left no trace at any machine
     UNKNOWN = auto()  # some machine may have accepted it: to be sent again under the same id
 
 
@@ -59,7 +59,7 @@
 
 
 @dataclass(slots=True)
-class Step:
+class ReplicaOutput:
     """What one event brings about, in this order."""
 
     records: list[Record] = field(default_factory=list)
@@ -101,12 +101,12 @@
         self.accepted: dict[int, tuple[int, Change]] = {}  # by version, with the ballot
         self.refused: dict[int, int] = {}  # by version: the highest ballot heard of elsewhere
         self.chosen: dict[int, Change] = {}  # by version
-        self.newest = 0  # all versions up to it are known
+        self.newest_version = 0  # all versions up to it are known
         self.pending: deque[Pending] = deque()
         self.round: Round | None = None
         self.next_round = 0.0  # not before this time
         self.next_heartbeat = 0.0
-        self.step = Step()
+        self.step = ReplicaOutput()
         for record in records:
             self._restore(record)
 
@@ -118,19 +118,19 @@
             self.accepted[record.version] = (record.ballot, record.change)
         else:
             self.chosen[record.version] = record.change
-        while self.newest + 1 in self.chosen:
-            self.newest += 1
+        while self.newest_version + 1 in self.chosen:
+            self.newest_version += 1
 
-    def _take_step(self) -> Step:
-        step, self.step = self.step, Step()
+    def _take_step(self) -> ReplicaOutput:
+        step, self.step = self.step, ReplicaOutput()
         return step
 
     # ---- events ----
 
-    def submit(self, now: float, change: Change) -> Step:
+    def submit(self, now: float, change: Change) -> ReplicaOutput:
         """A publisher asks for a change; its outcome follows in this step or a later one."""
         version = next((v for v, c in self.chosen.items() if c.change_id == change.change_id), None)
-        if version is not None and version <= self.newest:
+        if version is not None and version <= self.newest_version:
             self.step.outcomes.append(Outcome(change.change_id, Verdict.ACCEPTED, version))
         elif all(pending.change.change_id != change.change_id for pending in self.pending):
             self.pending.append(Pending(change, now + CHANGE_TIMEOUT, self._has_accepted(change)))
@@ -139,10 +139,10 @@
 
     def _has_accepted(self, change: Change) -> bool:
         """Whether an earlier submission of it got as far as this machine's log."""
-        open_versions = [held for version, held in self.accepted.items() if version > self.newest]
+        open_versions = [held for version, held in self.accepted.items() if version > self.newest_version]
         return any(held.change_id == change.change_id for _, held in open_versions)
 
-    def tick(self, now: float) -> Step:
+    def tick(self, now: float) -> ReplicaOutput:
         """Time has passed: time-outs, the next ballot, the heartbeat."""
         if self.round is not None and now >= self.round.until:
             self._abandon(now)
@@ -151,10 +151,10 @@
         self._propose(now)
         if now >= self.next_heartbeat:
             self.next_heartbeat = now + HEARTBEAT
-            self._broadcast(Fetch(self.newest + 1))
+            self._broadcast(Fetch(self.newest_version + 1))
         return self._take_step()
 
-    def receive(self, now: float, sender: int, message: Message) -> Step:
+    def receive(self, now: float, sender: int, message: Message) -> ReplicaOutput:
         """A message has come; it may be old, or come twice."""
         if isinstance(message, Prepare):
             self._on_prepare(sender, message)
@@ -215,7 +215,7 @@
         """Begin a ballot for the next version, if a change waits and none is on."""
         if self.round is not None or not self.pending or now < self.next_round:
             return
-        version = self.newest + 1
+        version = self.newest_version + 1
         ballot = self._ballot_above(max(self.promised.get(version, 0), self.refused.get(version, 0)))
         self.round = Round(version, ballot, now + ROUND_TIMEOUT)
         self.round.promises[self.index] = self._promise(version, ballot)
@@ -280,7 +280,7 @@
             self.step.outcomes.append(Outcome(change_id, Verdict.UNKNOWN, reason=reason))
         else:
             reason = f"turned down: {counted} answered, {self.majority} are needed"
-            self.step.outcomes.append(Outcome(change_id, Verdict.TURNED_DOWN, reason=reason))
+            self.step.outcomes.append(Outcome(change_id, Verdict.REJECTED, reason=reason))
 
     # ---- learner ----
 
@@ -291,10 +291,10 @@
             return
         self.chosen[version] = change
         self.step.records.append(ChosenRecord(version, change))
-        while self.newest + 1 in self.chosen:
-            self.newest += 1
-            self._tell_publisher(self.newest)
-        if self.round is not None and self.round.version <= self.newest:
+        while self.newest_version + 1 in self.chosen:
+            self.newest_version += 1
+            self._tell_publisher(self.newest_version)
+        if self.round is not None and self.round.version <= self.newest_version:
             self.round = None
         self._propose(now)
 
@@ -305,7 +305,7 @@
             self.step.outcomes.append(Outcome(change_id, Verdict.ACCEPTED, version))
 
     def _on_fetch(self, sender: int, message: Fetch) -> None:
-        for version in range(message.version, min(self.newest, message.version + FETCH_MOST - 1) + 1):
+        for version in range(message.version, min(self.newest_version, message.version + FETCH_MOST - 1) + 1):
             self._send(sender, Chosen(version, self.chosen[version]))
 
     # ---- sending ----
--- a/emulator/control/scenario.py
+++ b/emulator/control/scenario.py
@@ -11,9 +11,9 @@
 
 from emulator.errors import BadInputError
 
-FOLDER = Path(__file__).parent / "scenarios"
-DEFAULT, QUICK = FOLDER / "full.toml", FOLDER / "quick.toml"
-SETTINGS = FOLDER / "settings.json"
+SCENARIO_FOLDER = Path(__file__).parent / "scenarios"
+FULL_SCENARIO_PATH, QUICK_SCENARIO_PATH = SCENARIO_FOLDER / "full.toml", SCENARIO_FOLDER / "quick.toml"
+BASE_SETTINGS_PATH = SCENARIO_FOLDER / "settings.json"
 
 
 class Part(BaseModel):
@@ -22,7 +22,7 @@
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class Change(Part):
+class ChangeStep(Part):
     """Sound changes, published at one machine after another, each in force before the next."""
 
     do: Literal["change"]
@@ -31,7 +31,7 @@
     machines: list[int] = [0, 1, 2]
 
 
-class Refused(Part):
+class RefusedStep(Part):
     """Changes that no majority can be found for."""
 
     do: Literal["refused"]
@@ -39,61 +39,70 @@
     machine: int
 
 
-class Bad(Part):
+class InvalidChangeStep(Part):
     """A change that the control machines turn down."""
 
     do: Literal["bad"]
 
 
-class BadUnchecked(Part):
+class UncheckedInvalidChangeStep(Part):
     """A bad change that the control machines let through, so that each balancer turns it down."""
 
     do: Literal["bad_unchecked"]
 
 
-class Lose(Part):
+class LoseMachinesStep(Part):
     """These machines are killed."""
 
     do: Literal["lose"]
     machines: list[int]
 
 
-class Recover(Part):
+class RecoverMachinesStep(Part):
     """They start again from their logs."""
 
     do: Literal["recover"]
     machines: list[int]
 
 
-class Split(Part):
+class SplitStep(Part):
     """A region is cut off, with its machine; the regions are numbered as the machines."""
 
     do: Literal["split"]
     region: int
 
 
-class Heal(Part):
+class HealStep(Part):
     """The split is over."""
 
     do: Literal["heal"]
 
 
-class Restart(Part):
+class RestartBalancersStep(Part):
     """Balancers restart, all at once; 0: all of the fleet."""
 
     do: Literal["restart"]
     count: int = Field(0, ge=0)
 
 
-class Pause(Part):
+class PauseStep(Part):
     """Nothing happens."""
 
     do: Literal["pause"]
     seconds: float = Field(gt=0)
 
 
-Step = Annotated[
-    Change | Refused | Bad | BadUnchecked | Lose | Recover | Split | Heal | Restart | Pause,
+ScenarioStep = Annotated[
+    ChangeStep
+    | RefusedStep
+    | InvalidChangeStep
+    | UncheckedInvalidChangeStep
+    | LoseMachinesStep
+    | RecoverMachinesStep
+    | SplitStep
+    | HealStep
+    | RestartBalancersStep
+    | PauseStep,
     Field(discriminator="do"),
 ]
 
@@ -110,7 +119,7 @@
     servers: int = Field(4, ge=1)
     seed: int = 1
     bar_s: float = Field(4.0, gt=0)
-    steps: list[Step]
+    steps: list[ScenarioStep]
 
     @model_validator(mode="after")
     def check_members(self) -> Scenario:
@@ -123,20 +132,20 @@
                 raise ValueError(f"steps[{n}] names a machine or region that is none of {self.machines}")
         return self
 
-    def regions(self) -> list[list[int]]:
+    def balancers_by_region(self) -> list[list[int]]:
         """The balancers of each region."""
         return [list(range(n, self.balancers, self.machines)) for n in range(self.machines)]
 
-    def real(self) -> list[int]:
+    def real_balancer_indexes(self) -> list[int]:
         """The numbers of the real balancers."""
         return list(range(self.real_balancers))
 
-    def hollow(self, process: int) -> list[int]:
+    def hollow_balancer_indexes(self, process: int) -> list[int]:
         """The numbers of the hollow balancers of one process."""
         return list(range(self.real_balancers + process, self.balancers, self.hollow_processes))
 
 
-def load(path: Path) -> Scenario:
+def load_scenario(path: Path) -> Scenario:
     """The scenario in a file; BadInputError names what is wrong with it."""
     try:
         raw = tomllib.loads(path.read_text())
@@ -152,11 +161,11 @@
 
 def base_settings() -> dict[str, Any]:
     """Version 0: what the configuration files of all balancers hold."""
-    settings: dict[str, Any] = json.loads(SETTINGS.read_text())
+    settings: dict[str, Any] = json.loads(BASE_SETTINGS_PATH.read_text())
     return settings
 
 
-def varied(base: dict[str, Any], number: int) -> dict[str, Any]:
+def varied_settings(base: dict[str, Any], number: int) -> dict[str, Any]:
     """Another version: each number changes worths, shares, limits, times, and which classes there are."""
     factor = 1.0 + number % 5 / 10
     services = [{**s, "worth": s["worth"] * factor} for s in base["services"]]
@@ -175,7 +184,7 @@
     }
 
 
-def spoiled(base: dict[str, Any]) -> dict[str, Any]:
+def invalid_settings(base: dict[str, Any]) -> dict[str, Any]:
     """A version with a fault deep inside."""
     services = [*base["services"][:-1], {**base["services"][-1], "deadlineNs": "soon"}]
     return {**base, "services": services}
--- a/emulator/control/supervisor.py
+++ b/emulator/control/supervisor.py
@@ -36,7 +36,7 @@
 )
 from emulator.control.machine import PublishReply, PublishRequest
 from emulator.control.measures import Measures
-from emulator.control.process import Child
+from emulator.control.process import ChildProcess
 from emulator.control.results import ChangeResult, FailedResult, RefusedResult, RunResult, StepResult
 from emulator.free_ports import find_free_ports
 
@@ -62,8 +62,8 @@
         self.base = steps.base_settings()
         self.addresses = AddressPlan(*find_free_ports(3))
         self.measures = Measures(scenario.balancers)
-        self.machines: dict[int, Child] = {}
-        self.others: list[Child] = []  # agents, hollow balancers, traffic and real balancers
+        self.machines: dict[int, ChildProcess] = {}
+        self.others: list[ChildProcess] = []  # agents, hollow balancers, traffic and real balancers
         self.request_totals: list[RequestTotals] = []
         self.agent_totals: asyncio.Queue[AgentTotals] = asyncio.Queue()
         self.began = time.monotonic()
@@ -85,28 +85,34 @@
             await self._finish()
             return await self._result(seconds, cpu)
         finally:
-            await asyncio.gather(*(child.end() for child in [*self.others, *self.machines.values()]))
+            await asyncio.gather(*(child.stop() for child in [*self.others, *self.machines.values()]))
 
     async def _start(self) -> None:
         scenario, seed = self.scenario, self.scenario.seed
         await asyncio.gather(*(self._start_machine(n) for n in range(scenario.machines)))
-        agents = AgentsConfig(scenario.regions(), scenario.machines, self.addresses, seed)
+        agents = AgentsConfig(scenario.balancers_by_region(), scenario.machines, self.addresses, seed)
         self.agents = await self._start_other("agents", agents)
         traffic = TrafficConfig(
-            scenario.real(), self.addresses, scenario.servers, scenario.real_requests_per_s, seed
+            scenario.real_balancer_indexes(),
+            self.addresses,
+            scenario.servers,
+            scenario.real_requests_per_s,
+            seed,
         )
-        self.traffic = Child("emulator.control.traffic", traffic, self._on_report)
+        self.traffic = ChildProcess("emulator.control.traffic", traffic, self._on_report)
         self.others.append(self.traffic)
         discovery_port = (await self.traffic.start()).discovery_port
-        real = RealConfig(scenario.real(), self.base, self.addresses, discovery_port, seed)
+        real = RealConfig(scenario.real_balancer_indexes(), self.base, self.addresses, discovery_port, seed)
         hollow = [
-            HollowConfig(n, scenario.hollow(n), self.base, self.addresses, self._hollow_rate(n), seed)
+            HollowConfig(
+                n, scenario.hollow_balancer_indexes(n), self.base, self.addresses, self._hollow_rate(n), seed
+            )
             for n in range(scenario.hollow_processes)
         ]
         self.real = await self._start_other("real", real)
         self.hollow = [await self._start_other("hollow", config) for config in hollow]
         await self._wait_started(scenario.balancers)
-        self.traffic.tell(Begin())
+        self.traffic.send_command(Begin())
 
     def _hollow_rate(self, process: int) -> float:
         """The first process has no requests, so that its processor time shows what the settings cost."""
@@ -115,12 +121,12 @@
     async def _start_machine(self, index: int) -> None:
         path = str(self.folder / f"machine{index}.log")
         config = MachineConfig(index, self.scenario.machines, self.addresses, path, self.scenario.seed)
-        child = Child("emulator.control.machine", config, self._on_report)
+        child = ChildProcess("emulator.control.machine", config, self._on_report)
         self.machines[index] = child
         await child.start()
 
-    async def _start_other(self, name: str, config: msgspec.Struct) -> Child:
-        child = Child(f"emulator.control.{name}", config, self._on_report)
+    async def _start_other(self, name: str, config: msgspec.Struct) -> ChildProcess:
+        child = ChildProcess(f"emulator.control.{name}", config, self._on_report)
         self.others.append(child)
         await child.start()
         return child
@@ -131,7 +137,7 @@
         elif isinstance(report, Started):
             self.measures.on_started(report)
         elif isinstance(report, TurnedDown):
-            self.measures.on_turned_down(report)
+            self.measures.on_rejected(report)
         elif isinstance(report, RequestFailed):
             self.emit(
                 FailedResult(report.balancer, report.what, report.after_ms, time.monotonic() - self.began)
@@ -146,42 +152,44 @@
 
     async def _wait_started(self, count: int) -> None:
         async with asyncio.timeout(START_WAIT):
-            while self.measures.starts < count:
+            while self.measures.start_count < count:
                 await asyncio.sleep(POLL)
 
     async def _finish(self) -> None:
         self.request_totals.clear()
         children = [*self.hollow, self.traffic]
         for child in children:
-            child.tell(Finish())
-        self.agents.tell(Measure())
+            child.send_command(Finish())
+        self.agents.send_command(Measure())
         async with asyncio.timeout(FINISH_TIMEOUT):
             while len(self.request_totals) < len(children):
                 await asyncio.sleep(POLL)
 
     # ---- steps ----
 
-    async def _take(self, step: steps.Step) -> None:
-        if isinstance(step, steps.Change):
+    async def _take(self, step: steps.ScenarioStep) -> None:
+        if isinstance(step, steps.ChangeStep):
             for n in range(step.count):
                 await self._change(step.machines[n % len(step.machines)])
                 await asyncio.sleep(step.every_s)
-        elif isinstance(step, steps.Refused):
+        elif isinstance(step, steps.RefusedStep):
             for _ in range(step.count):
-                await self._expect_refused(step.do, step.machine, 503, steps.varied(self.base, self.changes))
-        elif isinstance(step, steps.Bad):
-            await self._expect_refused(step.do, 0, 400, steps.spoiled(self.base))
-        elif isinstance(step, steps.BadUnchecked):
+                await self._expect_refused(
+                    step.do, step.machine, 503, steps.varied_settings(self.base, self.changes)
+                )
+        elif isinstance(step, steps.InvalidChangeStep):
+            await self._expect_refused(step.do, 0, 400, steps.invalid_settings(self.base))
+        elif isinstance(step, steps.UncheckedInvalidChangeStep):
             await self._change_badly()
-        elif isinstance(step, steps.Lose):
+        elif isinstance(step, steps.LoseMachinesStep):
             await asyncio.gather(*(self.machines[n].kill() for n in step.machines))
-        elif isinstance(step, steps.Recover):
+        elif isinstance(step, steps.RecoverMachinesStep):
             await asyncio.gather(*(self._start_machine(n) for n in step.machines))
-        elif isinstance(step, steps.Split):
+        elif isinstance(step, steps.SplitStep):
             self._cut(step.region)
-        elif isinstance(step, steps.Heal):
+        elif isinstance(step, steps.HealStep):
             self._cut(None)
-        elif isinstance(step, steps.Restart):
+        elif isinstance(step, steps.RestartBalancersStep):
             await self._restart(step.count)
         else:
             await asyncio.sleep(step.seconds)
@@ -193,7 +201,7 @@
         self.changes += 1
         body = msgspec.json.encode(PublishRequest(f"change-{self.changes}", settings, unchecked))
         for attempt in range(PUBLISH_TRIES):
-            address = self.addresses.machine(machine)
+            address = self.addresses.machine_address(machine)
             caller = HttpClient(asyncio.get_running_loop(), (address.host, address.port), 1024 * 1024)
             try:
                 answer = await caller.call("/v1/settings", PUBLISH_TIMEOUT, body)
@@ -208,29 +216,29 @@
 
     async def _change(self, machine: int) -> None:
         asked = time.monotonic_ns()
-        status, reply = await self._publish(machine, steps.varied(self.base, self.changes))
+        status, reply = await self._publish(machine, steps.varied_settings(self.base, self.changes))
         if status != 200:
             self.problems.append(f"machine {machine} did not accept a sound change: {reply.error}")
             return
         version = reply.version
-        self.measures.accepted[version] = asked
+        self.measures.accepted_at_ns[version] = asked
         await self._wait_in_force(version)
-        delay, missing = self.measures.delays(version)
+        delay, missing = self.measures.version_delay(version)
         cut = set(self._cut_off())
         missing = [balancer for balancer in missing if balancer not in cut]
         if missing:
             self.problems.append(f"version {version} is not in force at {len(missing)} balancers")
-        self.emit(ChangeResult(version, machine, delay.balancers, delay.p50, delay.p99, delay.most))
+        self.emit(ChangeResult(version, machine, delay.sample_count, delay.p50_s, delay.p99_s, delay.max_s))
 
     def _cut_off(self) -> list[int]:
-        return [] if self.split is None else self.scenario.regions()[self.split]
+        return [] if self.split is None else self.scenario.balancers_by_region()[self.split]
 
     async def _wait_in_force(self, version: int) -> None:
         """Wait until all that can hear of it have it, or until well after the bar."""
         wanted = set(range(self.scenario.balancers)) - set(self._cut_off())
         until = time.monotonic() + SLACK * self.scenario.bar_s
         while time.monotonic() < until:
-            if all(self.measures.newest.get(balancer, 0) >= version for balancer in wanted):
+            if all(self.measures.newest_versions.get(balancer, 0) >= version for balancer in wanted):
                 return
             await asyncio.sleep(POLL)
 
@@ -243,14 +251,14 @@
 
     async def _change_badly(self) -> None:
         """All balancers turn it down with one line each, and keep what they have."""
-        status, reply = await self._publish(0, steps.spoiled(self.base), unchecked=True)
+        status, reply = await self._publish(0, steps.invalid_settings(self.base), unchecked=True)
         until = time.monotonic() + SLACK * self.scenario.bar_s
-        told = self.measures.turned_down[reply.version]
+        told = self.measures.rejection_reasons[reply.version]
         while len(told) < self.scenario.balancers and time.monotonic() < until:
             await asyncio.sleep(POLL)
         if len(told) < self.scenario.balancers:
             self.problems.append(f"{len(told)} balancers turned the bad version {reply.version} down")
-        if max(self.measures.newest.values()) >= reply.version:
+        if max(self.measures.newest_versions.values()) >= reply.version:
             self.problems.append(f"the bad version {reply.version} is in force")
         self.emit(RefusedResult("bad_unchecked", 0, status, next(iter(told.values()), ""), len(told)))
 
@@ -261,50 +269,54 @@
         self.split = region
         for index, child in self.machines.items():
             others = [n for n in everyone if n != index and region in (n, index)]
-            child.tell(Cut(others))
+            child.send_command(Cut(others))
         reach = [[m for m in everyone if region is None or (m == region) == (n == region)] for n in everyone]
-        self.agents.tell(Reach(reach))
+        self.agents.send_command(Reach(reach))
         for balancer in healed:
-            self.measures.reachable[balancer].append(time.monotonic_ns())
+            self.measures.reachable_since_ns[balancer].append(time.monotonic_ns())
 
     async def _restart(self, count: int) -> None:
         total = self.scenario.balancers
         chosen = list(range(0, total, max(1, total // count)))[:count] if count else list(range(total))
-        wanted = self.measures.starts + len(chosen)
+        wanted = self.measures.start_count + len(chosen)
         self.measures.on_restarting(chosen)
         for n, child in enumerate(self.hollow):
-            child.tell(Restart([b for b in self.scenario.hollow(n) if b in set(chosen)]))
-        self.real.tell(Restart([b for b in self.scenario.real() if b in set(chosen)]))
+            child.send_command(
+                Restart([b for b in self.scenario.hollow_balancer_indexes(n) if b in set(chosen)])
+            )
+        self.real.send_command(
+            Restart([b for b in self.scenario.real_balancer_indexes() if b in set(chosen)])
+        )
         await self._wait_started(wanted)
 
     # ---- the end ----
 
     async def _result(self, seconds: float, quiet_cpu: float) -> RunResult:
         scenario, measures = self.scenario, self.measures
-        late = [v for v in measures.accepted if measures.delays(v)[1]]
+        late = [v for v in measures.accepted_at_ns if measures.version_delay(v)[1]]
         if late:
             self.problems.append(f"versions {late} are not in force everywhere at the end")
         agents = await asyncio.wait_for(self.agent_totals.get(), FINISH_TIMEOUT)
-        delay = measures.all_delays()
+        delay = measures.overall_delay()
         return RunResult(
             balancers=scenario.balancers,
             seconds=seconds,
-            versions=len(measures.accepted),
+            versions=len(measures.accepted_at_ns),
             refused=self.refused,
-            samples=delay.balancers,
-            p50=delay.p50,
-            p99=delay.p99,
-            most=delay.most,
-            backwards=len(measures.backwards),
-            starts=measures.starts,
-            repeated_lines=measures.repeated_lines,
+            samples=delay.sample_count,
+            p50=delay.p50_s,
+            p99=delay.p99_s,
+            most=delay.max_s,
+            backwards=len(measures.version_regressions),
+            starts=measures.start_count,
+            repeated_lines=measures.repeated_rejection_count,
             requests=sum(t.requests for t in self.request_totals),
             failed=sum(t.refused + t.failed for t in self.request_totals),
             lost=sum(t.lost for t in self.request_totals),
             repeated=sum(t.repeated for t in self.request_totals),
             killed_with_balancers=sum(t.restarted for t in self.request_totals),
             bytes_per_s=(agents.to_agents + agents.to_balancers) / scenario.balancers / seconds,
-            cpu_share=quiet_cpu / len(scenario.hollow(0)) / seconds,
+            cpu_share=quiet_cpu / len(scenario.hollow_balancer_indexes(0)) / seconds,
             problems=self.problems,
         )
 
--- a/emulator/control/traffic.py
+++ b/emulator/control/traffic.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from dykeshift.node.call import HttpClient
-from emulator.control.child import report, run_child
+from emulator.control.child import run_child, send_report
 from emulator.control.contract import (
     Begin,
     Command,
@@ -22,7 +22,7 @@
     RequestTotals,
     TrafficConfig,
 )
-from emulator.control.http_server import HttpRequest, HttpResponse, HttpServer, number
+from emulator.control.http_server import HttpRequest, HttpResponse, HttpServer, query_int
 from emulator.discovery_schema import Instance, Listing
 
 SERVICE_TIME = 0.005  # seconds
@@ -74,7 +74,7 @@
 
     async def _discover(self, request: HttpRequest) -> HttpResponse:
         if "from" in request.query:
-            await asyncio.sleep(number(request, "hold_ms", 0) / 1000)
+            await asyncio.sleep(query_int(request, "hold_ms", 0) / 1000)
             return HttpResponse(msgspec.json.encode(Listing(1, False, [])))
         instances = [
             Instance(f"s{n}", f"127.0.0.1:{port}", "a", "m", cell=n) for n, port in enumerate(self.ports)
@@ -86,7 +86,7 @@
     """Sends one request after another to one balancer, and sees it through its restarts."""
 
     def __init__(self, balancer: int, config: TrafficConfig) -> None:
-        address = config.addresses.balancer(balancer)
+        address = config.addresses.balancer_address(balancer)
         self.balancer = balancer
         self.config = config
         self.caller = HttpClient(asyncio.get_running_loop(), (address.host, address.port), MAX_ANSWER)
@@ -113,7 +113,7 @@
             status = await self._after_restart(message)
         if status != 200:
             after_ms = (time.monotonic() - began) * 1e3
-            report(RequestFailed(self.balancer, f"{kind.name} {status}", after_ms))
+            send_report(RequestFailed(self.balancer, f"{kind.name} {status}", after_ms))
         self.served += status == 200
         self.refused += status in (429, 503)
         self.failed += status not in (LOST, 200, 429, 503)
@@ -172,7 +172,7 @@
 async def main(config: TrafficConfig, commands: AsyncIterator[Command]) -> None:
     """Serve, and send once told to, until the commands end."""
     servers = Servers()
-    report(Ready(await servers.start(config.servers)))
+    send_report(Ready(await servers.start(config.servers)))
     clients = [Client(balancer, config) for balancer in config.balancers]
     running: list[asyncio.Task[None]] = []
     async for command in commands:
@@ -183,7 +183,7 @@
                 client.stopping = True
             await asyncio.gather(*running)
         if isinstance(command, Measure | Finish):
-            report(total(clients, servers))
+            send_report(total(clients, servers))
 
 
 if __name__ == "__main__":
--- a/tests/emulator/test_control_plane.py
+++ b/tests/emulator/test_control_plane.py
@@ -12,12 +12,12 @@
 
 import pytest
 
-from emulator.control.agents import Agent
+from emulator.control.agents import SettingsAgent
 from emulator.control.contract import AddressPlan, MachineConfig
-from emulator.control.durable_log import DurableLog, decode, encode
-from emulator.control.history import History
+from emulator.control.durable_log import DurableLog, decode_records, encode_record
+from emulator.control.history import SettingsHistory
 from emulator.control.http_server import HttpRequest, HttpResponse, HttpServer
-from emulator.control.machine import Machine
+from emulator.control.machine import ControlMachine
 from emulator.control.messages import (
     Accepted,
     AcceptRecord,
@@ -27,7 +27,7 @@
     PromiseRecord,
     Record,
 )
-from emulator.control.replica import Outcome, Replica, Step, Verdict
+from emulator.control.replica import Outcome, Replica, ReplicaOutput, Verdict
 from emulator.free_ports import find_free_ports
 
 MACHINES = 3
@@ -109,7 +109,7 @@
         assert replica is not None
         return replica
 
-    def carry_out(self, host: Host, step: Step) -> None:
+    def carry_out(self, host: Host, step: ReplicaOutput) -> None:
         """As a machine does it: the log first, then messages and outcomes."""
         assert host.replica is not None
         try:
@@ -123,7 +123,7 @@
         self.network += [(host.index, receiver, message) for receiver, message in step.messages]
         for outcome in step.outcomes:
             self.outcomes[outcome.change_id] = outcome
-        for version in range(1, host.replica.newest + 1):
+        for version in range(1, host.replica.newest_version + 1):
             change = host.replica.chosen[version]
             assert self.served.setdefault(version, change) == change, f"version {version} is two things"
 
@@ -175,7 +175,7 @@
         for _ in range(100):
             self.turn()
         sequences = [
-            [host.replica.chosen[v].change_id for v in range(1, host.replica.newest + 1)]
+            [host.replica.chosen[v].change_id for v in range(1, host.replica.newest_version + 1)]
             for host in self.hosts
             if host.replica is not None
         ]
@@ -223,7 +223,7 @@
     for change_id, outcome in cluster.outcomes.items():
         if outcome.verdict is Verdict.ACCEPTED:
             accepted[change_id] = outcome.version
-    turned_down = {i for i, o in cluster.outcomes.items() if o.verdict is Verdict.TURNED_DOWN}
+    turned_down = {i for i, o in cluster.outcomes.items() if o.verdict is Verdict.REJECTED}
     check_history(cluster, accepted)
     assert not turned_down & {change.change_id for change in cluster.served.values()}
 
@@ -235,10 +235,10 @@
         cluster.turn()
     cluster.cut = {2}
     outcome = cluster.publish("minority", at=2)
-    assert outcome is not None and outcome.verdict is Verdict.TURNED_DOWN
+    assert outcome is not None and outcome.verdict is Verdict.REJECTED
     assert outcome.reason == "turned down: 1 of 3 control machines answered, 2 are needed"
     assert cluster.publish_until_accepted("majority", at=0) == 2
-    assert cluster.replica(2).newest == 1
+    assert cluster.replica(2).newest_version == 1
     assert cluster.settle() == ["before", "majority"]
 
 
@@ -288,8 +288,8 @@
 
 
 def test_a_torn_tail_of_any_length_is_cut_off_and_written_over(tmp_path: Path) -> None:
-    data = b"".join(map(encode, RECORDS))
-    ends = [len(b"".join(map(encode, RECORDS[:n]))) for n in range(4)]
+    data = b"".join(map(encode_record, RECORDS))
+    ends = [len(b"".join(map(encode_record, RECORDS[:n]))) for n in range(4)]
     for length in range(len(data) + 1):
         path = tmp_path / str(length)
         path.write_bytes(data[:length])
@@ -298,12 +298,12 @@
         assert log.records == RECORDS[:whole]
         log.append([PromiseRecord(9, 9)])
         log.close()
-        assert decode(path.read_bytes())[0] == [*RECORDS[:whole], PromiseRecord(9, 9)]
+        assert decode_records(path.read_bytes())[0] == [*RECORDS[:whole], PromiseRecord(9, 9)]
 
 
 def test_a_record_that_changed_on_the_disk_is_not_believed(tmp_path: Path) -> None:
-    data = bytearray(b"".join(map(encode, RECORDS)))
-    data[len(encode(RECORDS[0])) + 12] ^= 1
+    data = bytearray(b"".join(map(encode_record, RECORDS)))
+    data[len(encode_record(RECORDS[0])) + 12] ^= 1
     path = tmp_path / "log"
     path.write_bytes(data)
     assert DurableLog(path).records == RECORDS[:1]
@@ -388,17 +388,17 @@
         config = MachineConfig(
             index=0, machines=3, addresses=addresses, seed=1, log_path=str(tmp_path / "log")
         )
-        machine = Machine(config, DurableLog(tmp_path / "log"))
+        machine = ControlMachine(config, DurableLog(tmp_path / "log"))
         sent: list[Message] = []
         monkeypatch.setattr(machine.peers[1], "send", sent.append)
         outcome: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-        machine.waiting["x"].append(outcome)
+        machine.waiting_publishers["x"].append(outcome)
         file = FailingFile(machine.log, monkeypatch)
         file.failing = {"write"}
         ticking = asyncio.create_task(machine.tick())
         accepted = Accepted(1, 4)
-        machine.carry_out(Step(RECORDS[:1], [(1, accepted)], [Outcome("x", Verdict.ACCEPTED, 1)]))
-        while machine.failed_writes < 3:
+        machine.execute(ReplicaOutput(RECORDS[:1], [(1, accepted)], [Outcome("x", Verdict.ACCEPTED, 1)]))
+        while machine.failed_write_count < 3:
             await asyncio.sleep(0.01)
         assert not sent and not outcome.done()
         file.failing = set()
@@ -418,29 +418,29 @@
 
 def test_an_older_version_is_never_handed_out_after_a_newer_one() -> None:
     async def main() -> None:
-        history = History()
-        assert (await history.answer(asking())).body == b'{"version":0}'
+        history = SettingsHistory()
+        assert (await history.respond(asking())).body == b'{"version":0}'
         for version in (3, 2):
             history.add(version, f'{{"n":{version}}}')
         for _ in range(2):
-            assert (await history.answer(asking())).body == b'{"version":3,"settings":{"n":3}}'
+            assert (await history.respond(asking())).body == b'{"version":3,"settings":{"n":3}}'
             history.add(3, '{"n":"another"}')
-        assert (await history.answer(asking(before="3"))).body == b'{"version":2,"settings":{"n":2}}'
-        assert (await history.answer(asking(before="2"))).body == b'{"version":0}'
+        assert (await history.respond(asking(before="3"))).body == b'{"version":2,"settings":{"n":2}}'
+        assert (await history.respond(asking(before="2"))).body == b'{"version":0}'
 
     asyncio.run(main())
 
 
 def test_a_held_call_is_answered_as_soon_as_there_is_a_newer_version() -> None:
     async def main() -> None:
-        history = History()
+        history = SettingsHistory()
         history.add(1, "{}")
-        held = asyncio.ensure_future(history.answer(asking(**{"from": "1", "hold_ms": "60000"})))
+        held = asyncio.ensure_future(history.respond(asking(**{"from": "1", "hold_ms": "60000"})))
         await asyncio.sleep(0)
         assert not held.done()
         history.add(2, "{}")
         assert (await held).body == b'{"version":2,"settings":{}}'
-        assert (await history.answer(asking(**{"from": "2", "hold_ms": "1"}))).body == b'{"version":2}'
+        assert (await history.respond(asking(**{"from": "2", "hold_ms": "1"}))).body == b'{"version":2}'
 
     asyncio.run(main())
 
@@ -449,16 +449,16 @@
     """Three addresses of control machines: one answers as its history says, two refuse connections."""
 
     def __init__(self) -> None:
-        self.history = History()
+        self.history = SettingsHistory()
         self.queries: list[dict[str, str]] = []
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
         self.queries.append(request.query)
-        return await self.history.answer(request)
+        return await self.history.respond(request)
 
     async def start(self) -> AddressPlan:
         (port,) = find_free_ports(1)
-        await HttpServer(self.handle).listen(AddressPlan(port, 0, 0).machine(1).host, port)
+        await HttpServer(self.handle).listen(AddressPlan(port, 0, 0).machine_address(1).host, port)
         return AddressPlan(port, 0, 0)
 
 
@@ -467,15 +467,15 @@
         machines = StubMachines()
         for version in (4, 5):
             machines.history.add(version, f'{{"n":{version}}}')
-        agent = Agent(3, await machines.start(), [0, 1, 2], seed=1)
-        while agent.history.newest < 5:
+        agent = SettingsAgent(3, await machines.start(), [0, 1, 2], seed=1)
+        while agent.history.newest_version < 5:
             await asyncio.sleep(0.01)
-        assert list(agent.history.settings) == [5]
+        assert list(agent.history.settings_by_version) == [5]
         assert (await agent.handle(asking(before="5"))).body == b'{"version":4,"settings":{"n":4}}'
         machines.queries.clear()
         assert (await agent.handle(asking(before="5"))).body == b'{"version":4,"settings":{"n":4}}'
         assert not any("before" in query for query in machines.queries)
-        agent.task.cancel()
+        agent.poll_task.cancel()
 
     asyncio.run(asyncio.wait_for(main(), 30))
 
@@ -484,18 +484,18 @@
     async def main() -> None:
         machines = StubMachines()
         machines.history.add(1, "{}")
-        agent = Agent(3, await machines.start(), [1], seed=1)
+        agent = SettingsAgent(3, await machines.start(), [1], seed=1)
         while len(machines.queries) < 2:  # the second call is held: there is nothing newer
             await asyncio.sleep(0.01)
-        agent.reach = [0]
+        agent.reachable_machines = [0]
         machines.history.add(2, "{}")  # answers the call that is held there: it is lost on the way
         machines.queries.clear()
         assert (await agent.handle(asking(**{"from": "0"}))).body == b'{"version":1,"settings":{}}'
         await asyncio.sleep(0.1)
-        assert agent.history.newest == 1 and not machines.queries
-        agent.reach = [1]
-        while agent.history.newest < 2:
+        assert agent.history.newest_version == 1 and not machines.queries
+        agent.reachable_machines = [1]
+        while agent.history.newest_version < 2:
             await asyncio.sleep(0.01)
-        agent.task.cancel()
+        agent.poll_task.cancel()
 
     asyncio.run(asyncio.wait_for(main(), 30))
--- a/tests/emulator/test_control_scenario.py
+++ b/tests/emulator/test_control_scenario.py
@@ -18,11 +18,11 @@
 from emulator.cli import main as command_line
 from emulator.control.contract import InForce, MachineConfig, Started, TurnedDown
 from emulator.control.contract import AddressPlan
-from emulator.control.machine import CRASHED, PublishReply, PublishRequest
+from emulator.control.machine import CRASH_EXIT_CODE, PublishReply, PublishRequest
 from emulator.control.measures import Measures
-from emulator.control.process import Child
+from emulator.control.process import ChildProcess
 from emulator.control.results import RunResult, missed_bars
-from emulator.control.scenario import DEFAULT, QUICK, base_settings, load
+from emulator.control.scenario import FULL_SCENARIO_PATH, QUICK_SCENARIO_PATH, base_settings, load_scenario
 from emulator.free_ports import find_free_ports
 
 S = 1_000_000_000
@@ -97,12 +97,16 @@
 
 
 def test_the_scenarios_that_come_with_it_are_sound_and_of_the_same_story() -> None:
-    full, quick = load(DEFAULT), load(QUICK)
+    full, quick = load_scenario(FULL_SCENARIO_PATH), load_scenario(QUICK_SCENARIO_PATH)
     assert [step.do for step in full.steps] == [step.do for step in quick.steps]
     assert full.balancers == quick.balancers == 420
     assert full.real_balancers == quick.real_balancers == 8
-    hollow = [n for process in range(3) for n in full.hollow(process)]
-    assert sorted(full.real() + hollow) == sorted(sum(full.regions(), [])) == list(range(420))
+    hollow = [n for process in range(3) for n in full.hollow_balancer_indexes(process)]
+    assert (
+        sorted(full.real_balancer_indexes() + hollow)
+        == sorted(sum(full.balancers_by_region(), []))
+        == list(range(420))
+    )
 
 
 # ---- measures ----
@@ -110,7 +114,7 @@
 
 def make_measures(balancers: int = 3) -> Measures:
     measures = Measures(balancers)
-    measures.accepted = {1: 10 * S, 2: 20 * S}
+    measures.accepted_at_ns = {1: 10 * S, 2: 20 * S}
     return measures
 
 
@@ -118,17 +122,20 @@
     measures = make_measures()
     measures.on_in_force(InForce(0, 1, 11 * S))
     measures.on_in_force(InForce(1, 2, 22 * S))
-    delay, missing = measures.delays(1)
-    assert (delay.balancers, missing) == (2, [2])
-    assert 0.99 <= delay.p50 <= 1.01 and 11.9 <= delay.most <= 12.1
-    assert measures.delays(2)[1] == [0, 2]
+    delay, missing = measures.version_delay(1)
+    assert (delay.sample_count, missing) == (2, [2])
+    assert 0.99 <= delay.p50_s <= 1.01 and 11.9 <= delay.max_s <= 12.1
+    assert measures.version_delay(2)[1] == [0, 2]
 
 
 def test_a_delay_counts_from_when_the_balancer_could_hear_again() -> None:
     measures = make_measures(1)
-    measures.reachable[0] += [15 * S, 40 * S]  # the end of a split; a restart after the version was in force
+    measures.reachable_since_ns[0] += [
+        15 * S,
+        40 * S,
+    ]  # the end of a split; a restart after the version was in force
     measures.on_in_force(InForce(0, 1, 16 * S))
-    assert 0.99 <= measures.delays(1)[0].most <= 1.01
+    assert 0.99 <= measures.version_delay(1)[0].max_s <= 1.01
 
 
 def test_an_older_version_in_force_or_at_a_start_is_counted() -> None:
@@ -137,17 +144,17 @@
         measures.on_in_force(report)
     measures.on_started(Started(0, 1, 30 * S))
     measures.on_started(Started(1, 1, 30 * S))
-    assert measures.backwards == [InForce(0, 1, 22 * S), Started(0, 1, 30 * S)]
+    assert measures.version_regressions == [InForce(0, 1, 22 * S), Started(0, 1, 30 * S)]
 
 
 def test_a_bad_version_is_one_line_in_each_life_of_a_balancer() -> None:
     measures = make_measures()
-    measures.on_turned_down(TurnedDown(0, 3, "bad"))
+    measures.on_rejected(TurnedDown(0, 3, "bad"))
     measures.on_restarting([0])
-    measures.on_turned_down(TurnedDown(0, 3, "bad"))
-    assert measures.repeated_lines == 0
-    measures.on_turned_down(TurnedDown(0, 3, "bad"))
-    assert measures.repeated_lines == 1
+    measures.on_rejected(TurnedDown(0, 3, "bad"))
+    assert measures.repeated_rejection_count == 0
+    measures.on_rejected(TurnedDown(0, 3, "bad"))
+    assert measures.repeated_rejection_count == 1
 
 
 SOUND = RunResult(420, 60.0, 10, 5, 4200, 0.1, 0.2, 0.3, 0, 900, 0, 5000, 0, 0, 0, 3, 900.0, 0.0005, [])
@@ -183,16 +190,16 @@
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.addresses = AddressPlan(*find_free_ports(3))
-        self.children: dict[int, Child] = {}
+        self.children: dict[int, ChildProcess] = {}
 
     async def start(self, index: int, crash_after: int = 0) -> None:
         path = str(self.folder / f"log{index}")
         config = MachineConfig(index, 3, self.addresses, path, seed=1, crash_after=crash_after)
-        self.children[index] = Child("emulator.control.machine", config, lambda _: None)
+        self.children[index] = ChildProcess("emulator.control.machine", config, lambda _: None)
         await self.children[index].start()
 
     async def ask(self, index: int, path: str, body: bytes | None = None) -> bytes:
-        address = self.addresses.machine(index)
+        address = self.addresses.machine_address(index)
         caller = HttpClient(asyncio.get_running_loop(), (address.host, address.port), 1 << 20)
         try:
             return (await caller.call(path, 10.0, body)).body
@@ -227,7 +234,7 @@
                 with pytest.raises(OSError):
                     await machines.publish(0, f"killed{point}")
                 process = machines.children[0].process
-                assert process is not None and await process.wait() == CRASHED
+                assert process is not None and await process.wait() == CRASH_EXIT_CODE
                 for change_id in (f"other{point}", f"killed{point}"):
                     version = await machines.publish(1 + point % 2, change_id)
                     accepted += [""] * (version - len(accepted))
@@ -243,6 +250,6 @@
             assert await machines.publish(1, "after") == len(accepted) + 2
             assert (await machines.history(1, len(accepted) + 2))[-2:] == ["last", "after"]
         finally:
-            await asyncio.gather(*(child.end() for child in machines.children.values()))
+            await asyncio.gather(*(child.stop() for child in machines.children.values()))
 
     asyncio.run(asyncio.wait_for(main(), 60))
