--- a/dykeshift/rules.py
+++ b/dykeshift/rules.py
@@ -136,7 +136,7 @@
 
 # ---- discovery ----
 
-# Pause after a failed watch for each balancer, as a share of the longest watch interval.
+# First pause after a failed watch, per balancer of the fleet, as a share of the longest watch interval.
 WATCH_RETRY_INTERVAL_SHARE = 0.005
 MAX_WATCH_RETRY_PAUSE_S = 2.0  # a lost call and the next one take up to 4 s more
 WATCH_RETRY_JITTER_SHARE = 0.98  # random share of the pause: all balancers may have failed at once
@@ -1230,7 +1230,11 @@
         self.relative_worth[: len(worths)] = [min(1.0, (v + fairness) / max(per_work)) for v in per_work]
 
     def _log_state(self, now: int) -> None:
-        """Log the state that decides which requests are admitted, wait and are sent."""
+        """Log the state that decides which requests are admitted, wait and are sent.
+
+        Some names in the log differ from those in the code: `crowd` is the overload level, `room` the
+        in-flight limit, `pace` the mean latency share, and `resting` counts servers in back-off.
+        """
         self.actions.append(
             Log(
                 f"requests {self.request_count} admit {self.admission_share:.2f} "
