--- a/tests/harness.py
+++ b/tests/harness.py
@@ -4,7 +4,6 @@
 
 from dataclasses import dataclass, field
 
-from dykeshift.rules import Balancer
 from dykeshift.interface import (
     UNEXECUTED_OUTCOMES,
     Action,
@@ -27,6 +26,7 @@
     Settings,
     Watch,
 )
+from dykeshift.rules import Balancer
 
 MS = 1_000_000
 S = 1000 * MS
@@ -60,185 +60,193 @@
     return Settings(**values)  # type: ignore[arg-type]
 
 
-def entry(n: int, state: ServerState = ServerState.READY, started: int = 0, **kw: int) -> ServerEntry:
+def server_entry(
+    server_id: int, state: ServerState = ServerState.READY, started_at: int = 0, **placement: int
+) -> ServerEntry:
     return ServerEntry(
-        id=n,
-        zone=kw.get("zone", n % 2),
-        cell=kw.get("cell", n % 3),
-        kind=kw.get("kind", 0),
+        id=server_id,
+        zone=placement.get("zone", server_id % 2),
+        cell=placement.get("cell", server_id % 3),
+        kind=placement.get("kind", 0),
         state=state,
         weight=1.0,
-        started_at=started,
+        started_at=started_at,
     )
 
 
 @dataclass
-class Seen:
+class RequestRecord:
     request: Request
-    klass: RequestClass
-    servers: list[int] = field(default_factory=list)
-    sent: list[int] = field(default_factory=list)
-    ends: list[Outcome | None] = field(default_factory=list)
-    final: str = ""
+    request_class: RequestClass
+    server_ids: list[int] = field(default_factory=list)
+    sent_at: list[int] = field(default_factory=list)
+    outcomes: list[Outcome | None] = field(default_factory=list)
+    final_answer: str = ""
 
 
-class World:
+class BalancerHarness:
     def __init__(self, settings: Settings | None = None, seed: int = 1, start: int = 100 * S) -> None:
         self.settings = settings or make_settings()
         self.balancer = Balancer(self.settings, seed)
         self.now = start
-        self.requests: dict[str, Seen] = {}
+        self.requests: dict[str, RequestRecord] = {}
         self.timers: list[tuple[int, str]] = []
-        self.list: dict[int, ServerEntry] = {}
+        self.listed_entries: dict[int, ServerEntry] = {}
         self.ever: set[int] = set()
         self.actions: list[Action] = []
-        self.watches = 0
-        self.count = 0
-        self.play(self.balancer.on_start(self.now))
+        self.watch_count = 0
+        self.request_count = 0
+        self.execute(self.balancer.on_start(self.now))
 
     # -- what the module does --
 
-    def play(self, actions: list[Action]) -> list[Action]:
+    def execute(self, actions: list[Action]) -> list[Action]:
         self.actions += actions
         for a in actions:
             if isinstance(a, Send):
                 self.check_send(a)
             elif isinstance(a, Refuse | Fail):
-                seen = self.requests[a.request_id]
-                assert not seen.final, "a second final answer"
+                record = self.requests[a.request_id]
+                assert not record.final_answer, "a second final answer"
                 if isinstance(a, Refuse):
-                    self.check_refuse(seen)
-                seen.final = type(a).__name__
+                    self.check_refuse(record)
+                record.final_answer = type(a).__name__
             elif isinstance(a, Cancel):
                 assert a.attempt_index < len(
-                    self.requests[a.request_id].servers
+                    self.requests[a.request_id].server_ids
                 ), "cancelled what was never sent"
             elif isinstance(a, SetTimer):
                 assert a.fire_at > self.now and " " not in a.token and len(a.token) <= 64
                 self.timers.append((a.fire_at, a.token))
             elif isinstance(a, Watch):
-                self.watches += 1
+                self.watch_count += 1
         return actions
 
     @staticmethod
-    def anchor(seen: Seen) -> int | None:
-        return next((n for n, end in enumerate(seen.ends) if end not in UNEXECUTED_OUTCOMES), None)
+    def first_possibly_executed(record: RequestRecord) -> int | None:
+        return next((n for n, end in enumerate(record.outcomes) if end not in UNEXECUTED_OUTCOMES), None)
 
     def check_send(self, a: Send) -> None:
-        seen, e = self.requests[a.request_id], self.list.get(a.server_id)
-        assert not seen.final, "sent after the final answer"
-        assert self.now < seen.request.deadline
-        assert len(seen.servers) < self.settings.max_attempts
+        record, e = self.requests[a.request_id], self.listed_entries.get(a.server_id)
+        assert not record.final_answer, "sent after the final answer"
+        assert self.now < record.request.deadline
+        assert len(record.server_ids) < self.settings.max_attempts
         assert e is not None and e.state is ServerState.READY, "sent to a draining or gone server"
         assert a.timeout >= 0
-        if None in seen.ends:
+        if None in record.outcomes:
             assert self.settings.copies_allowed
-        first = self.anchor(seen)
+        first = self.first_possibly_executed(record)
         if first is not None:
-            kind, old = seen.klass.idempotency, self.list.get(seen.servers[first])
+            kind, old = record.request_class.idempotency, self.listed_entries.get(record.server_ids[first])
             assert kind is not Idempotency.UNSAFE, "an unsafe request was sent twice"
             if kind is Idempotency.KEYED:
-                assert self.now < seen.sent[first] + seen.klass.dedup_window
-                if seen.klass.dedup_scope is DedupScope.CELL:
+                assert self.now < record.sent_at[first] + record.request_class.dedup_window
+                if record.request_class.dedup_scope is DedupScope.CELL:
                     assert old is None or old.cell == e.cell
-                if seen.klass.dedup_scope is DedupScope.ZONE:
+                if record.request_class.dedup_scope is DedupScope.ZONE:
                     assert old is None or old.zone == e.zone
-        seen.servers.append(a.server_id)
-        seen.sent.append(self.now)
-        seen.ends.append(None)
+        record.server_ids.append(a.server_id)
+        record.sent_at.append(self.now)
+        record.outcomes.append(None)
 
-    def check_refuse(self, seen: Seen) -> None:
-        kind, ran = seen.klass.idempotency, self.anchor(seen) is not None
+    def check_refuse(self, record: RequestRecord) -> None:
+        kind, ran = record.request_class.idempotency, self.first_possibly_executed(record) is not None
         if ran and kind is Idempotency.UNSAFE:
             raise AssertionError("refused an unsafe request that may have run")
         if ran and kind is Idempotency.KEYED:
-            assert seen.klass.dedup_scope is DedupScope.ALL, "refused a keyed request that may have run"
+            assert (
+                record.request_class.dedup_scope is DedupScope.ALL
+            ), "refused a keyed request that may have run"
 
     # -- what happens to it --
 
-    def submit(self, klass: int = 0, patience: int | None = None, hint: int = 0, tenant: int = 0) -> str:
-        self.count += 1
-        rid, k = f"q{self.count}", self.settings.classes[klass]
+    def submit(
+        self, class_index: int = 0, timeout: int | None = None, cost_hint: int = 0, tenant_index: int = 0
+    ) -> str:
+        self.request_count += 1
+        request_id, request_class = f"q{self.request_count}", self.settings.classes[class_index]
         request = Request(
-            id=rid,
-            class_index=klass,
-            deadline=self.now + (patience or k.client_timeout),
-            cost_hint=hint,
-            tenant_index=tenant,
+            id=request_id,
+            class_index=class_index,
+            deadline=self.now + (timeout or request_class.client_timeout),
+            cost_hint=cost_hint,
+            tenant_index=tenant_index,
         )
-        self.requests[rid] = Seen(request, k)
-        self.play(self.balancer.on_request(self.now, request))
-        return rid
-
-    def end(self, rid: str, attempt: int, outcome: Outcome, report: LoadReport | None = None) -> list[Action]:
-        seen = self.requests[rid]
-        assert seen.ends[attempt] is None
-        seen.ends[attempt] = outcome
-        if outcome is Outcome.OK and not seen.final:
-            seen.final = "OK"
-        return self.play(
+        self.requests[request_id] = RequestRecord(request, request_class)
+        self.execute(self.balancer.on_request(self.now, request))
+        return request_id
+
+    def end_attempt(
+        self, request_id: str, attempt_index: int, outcome: Outcome, report: LoadReport | None = None
+    ) -> list[Action]:
+        record = self.requests[request_id]
+        assert record.outcomes[attempt_index] is None
+        record.outcomes[attempt_index] = outcome
+        if outcome is Outcome.OK and not record.final_answer:
+            record.final_answer = "OK"
+        return self.execute(
             self.balancer.on_attempt_end(
                 self.now,
                 AttemptEnd(
-                    rid,
-                    attempt,
-                    seen.servers[attempt],
+                    request_id,
+                    attempt_index,
+                    record.server_ids[attempt_index],
                     outcome,
-                    self.now - seen.sent[attempt],
-                    bool(seen.final),
+                    self.now - record.sent_at[attempt_index],
+                    bool(record.final_answer),
                     report,
                 ),
             )
         )
 
-    def end_all(self, rid: str, outcome: Outcome = Outcome.OK) -> None:
+    def end_all_attempts(self, request_id: str, outcome: Outcome = Outcome.OK) -> None:
         """End every attempt of a request that is out, also those that an end before it brings about."""
-        for n, end in enumerate(self.requests[rid].ends):
+        for n, end in enumerate(self.requests[request_id].outcomes):
             if end is None:
-                self.end(rid, n, outcome)
+                self.end_attempt(request_id, n, outcome)
 
-    def gone(self, rid: str) -> None:
-        self.requests[rid].final = self.requests[rid].final or "gone"
-        self.play(self.balancer.on_client_gone(self.now, rid))
+    def disconnect_client(self, request_id: str) -> None:
+        self.requests[request_id].final_answer = self.requests[request_id].final_answer or "gone"
+        self.execute(self.balancer.on_client_gone(self.now, request_id))
 
-    def announce(self, kind: ListKind, *entries: ServerEntry) -> None:
+    def update_server_list(self, kind: ListKind, *entries: ServerEntry) -> None:
         if kind in (ListKind.FULL, ListKind.CACHED):
-            self.list = {}
+            self.listed_entries = {}
         for e in entries:
-            self.list[e.id] = e
-        self.play(self.balancer.on_list(self.now, ServerListUpdate(kind, tuple(entries))))
+            self.listed_entries[e.id] = e
+        self.execute(self.balancer.on_list(self.now, ServerListUpdate(kind, tuple(entries))))
 
-    def out(self) -> list[tuple[str, int]]:
-        return [(r, n) for r, s in self.requests.items() for n, end in enumerate(s.ends) if end is None]
+    def attempts_in_flight(self) -> list[tuple[str, int]]:
+        return [(r, n) for r, s in self.requests.items() for n, end in enumerate(s.outcomes) if end is None]
 
-    def advance(self, span: int) -> None:
+    def advance(self, duration: int) -> None:
         """Let time pass: timers fire a step late at the most, and what reaches its deadline times out."""
-        target = self.now + span
+        target = self.now + duration
         while True:
-            overdue = [(self.requests[r].request.deadline, r, n) for r, n in self.out()]
+            overdue = [(self.requests[r].request.deadline, r, n) for r, n in self.attempts_in_flight()]
             at = min([t for t, _ in self.timers] + [t for t, _, _ in overdue], default=target + 1)
             if at > target:
                 break
             self.now = max(self.now, at)
             for t, token in sorted(x for x in self.timers if x[0] <= self.now):
                 self.timers.remove((t, token))
-                self.play(self.balancer.on_timer(self.now, token))
+                self.execute(self.balancer.on_timer(self.now, token))
             for t, r, n in overdue:
-                if t <= self.now and self.requests[r].ends[n] is None:
-                    self.end(r, n, Outcome.TIMEOUT)
-            self.check_answers()
+                if t <= self.now and self.requests[r].outcomes[n] is None:
+                    self.end_attempt(r, n, Outcome.TIMEOUT)
+            self.check_answered_in_time()
         self.now = target
-        self.check_answers()
+        self.check_answered_in_time()
 
-    def check_answers(self) -> None:
-        for rid, seen in self.requests.items():
-            last = seen.request.deadline + self.settings.answer_grace
-            assert seen.final or self.now <= last, f"{rid} is overdue"
+    def check_answered_in_time(self) -> None:
+        for request_id, record in self.requests.items():
+            last = record.request.deadline + self.settings.answer_grace
+            assert record.final_answer or self.now <= last, f"{request_id} is overdue"
 
-    def settle(self) -> None:
+    def finish_all_requests(self) -> None:
         """All attempts come back and all clients are answered; nothing may be left behind."""
         self.advance(max(k.client_timeout for k in self.settings.classes) + S)
-        for rid, n in self.out():
-            self.end(rid, n, Outcome.CANCELLED)
-        assert all(s.final for s in self.requests.values())
+        for request_id, n in self.attempts_in_flight():
+            self.end_attempt(request_id, n, Outcome.CANCELLED)
+        assert all(s.final_answer for s in self.requests.values())
         assert not self.balancer.open_requests, "closed requests are kept"
--- a/tests/node/test_standing_terms.py
+++ b/tests/node/test_disconnects_and_long_lists.py
@@ -77,24 +77,24 @@
         return max((timer.fire_at for timer in self.timers if timer.token.startswith(f"r:{rid}/")), default=0)
 
 
-class Visitor:
+class BlockingClient:
     """A client whose close is with the system as soon as the call returns, whatever the loop does."""
 
     def __init__(self, balancer: RunningBalancer, data: bytes) -> None:
         self.socket = socket.create_connection(balancer.address)
         self.socket.sendall(data)
 
-    def leave(self, reset: bool = False) -> None:
+    def disconnect(self, reset: bool = False) -> None:
         if reset:
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         self.socket.close()
 
 
-def received(*stubs: StubServer) -> list[str]:
+def received_request_ids(*stubs: StubServer) -> list[str]:
     return [message.headers["x-request-id"] for stub in stubs for message in stub.requests]
 
 
-async def all_quiet(balancer: RunningBalancer) -> None:
+async def wait_until_idle(balancer: RunningBalancer) -> None:
     """Every attempt has come back to the module, and nothing is left of the requests."""
     driver = balancer.frontend.driver
     await wait_until(lambda: not driver.open_requests and not driver.pool.connect_tasks)
@@ -102,7 +102,7 @@
     assert all(server.in_flight == 0 for server in driver.decision_module.servers.values())
 
 
-async def warm(balancer: RunningBalancer, *stubs: StubServer) -> None:
+async def warm_up(balancer: RunningBalancer, *stubs: StubServer) -> None:
     """All servers have been heard from and have a connection; nothing is remembered of it."""
     count = 0
     while not all(stub.requests for stub in stubs) or count < 10 * len(stubs):
@@ -130,16 +130,16 @@
             pool.reuse_delay_s = 0.2
             assert "200" in (await balancer.fetch(http_request(klass, request_id="first"))).start_line
             await wait_until(lambda: not balancer.frontend.connections)
-            visitor = Visitor(balancer, http_request(klass, request_id="left"))
+            visitor = BlockingClient(balancer, http_request(klass, request_id="left"))
             await wait_until(lambda: bool(balancer.frontend.driver.open_requests))
             (upstream,) = pool.upstreams.values()
             assert pool.connection_count == 1 and not upstream.idle_connections  # taken out, and waited for
-            visitor.leave(reset)
+            visitor.disconnect(reset)
             await wait_until(lambda: seen.gone == ["left"])
             await wait_until(lambda: len(upstream.idle_connections) == 1)  # it has rested
-            await all_quiet(balancer)
+            await wait_until_idle(balancer)
             assert "200" in (await balancer.fetch(http_request(klass, request_id="next"))).start_line
-            assert received(stub) == ["first", "next"] and len(stub.writers) == 1
+            assert received_request_ids(stub) == ["first", "next"] and len(stub.writers) == 1
 
     run(main())
 
@@ -164,11 +164,11 @@
             )
             busy = len(stub.requests)
             assert 0 < busy < len(callers)  # the others are held
-            visitor = Visitor(balancer, http_request(klass, request_id="left"))
+            visitor = BlockingClient(balancer, http_request(klass, request_id="left"))
             await wait_until(
                 lambda: any(job.client_request.id == "left" for job in driver.open_requests.values())
             )
-            visitor.leave(reset)
+            visitor.disconnect(reset)
             await wait_until(lambda: "left" in seen.gone)
             set_before = len(seen.timers)
             stub.handler = responds_with(http_response())
@@ -178,8 +178,8 @@
             for caller in callers:
                 await read_message(caller.reader)
                 caller.writer.close()
-            await all_quiet(balancer)
-            assert "left" not in received(stub)
+            await wait_until_idle(balancer)
+            assert "left" not in received_request_ids(stub)
 
     run(main())
 
@@ -197,20 +197,20 @@
         async with running_balancer(*stubs, settings=settings_with_bounds(cancelling=cancelling)) as balancer:
             seen, pool = Departures.of(balancer), balancer.frontend.driver.pool
             gate = ConnectGate(pool)
-            visitor = Visitor(balancer, http_request(klass, request_id="left"))
+            visitor = BlockingClient(balancer, http_request(klass, request_id="left"))
             await wait_until(lambda: gate.connect_count == 1)
             gate.opened.set()
             gate.opened.clear()  # lets the first one by
             await wait_until(lambda: gate.connect_count == 2)
-            assert received(*stubs) == ["left"]
-            visitor.leave(reset)
+            assert received_request_ids(*stubs) == ["left"]
+            visitor.disconnect(reset)
             await wait_until(lambda: seen.gone == ["left"])
             gate.opened.set()
-            await all_quiet(balancer)
+            await wait_until_idle(balancer)
             for stub in stubs:
                 stub.handler = responds_with(http_response())
             assert "200" in (await balancer.fetch(http_request(klass, request_id="next"))).start_line
-            assert sorted(received(*stubs)) == ["left", "next"]
+            assert sorted(received_request_ids(*stubs)) == ["left", "next"]
 
     run(main())
 
@@ -224,7 +224,7 @@
     async def main() -> None:
         stubs = [await StubServer(responds_with(http_response())).start() for _ in range(2)]
         async with running_balancer(*stubs, settings=settings_with_bounds(cancelling=cancelling)) as balancer:
-            await warm(balancer, *stubs)
+            await warm_up(balancer, *stubs)
             seen, pool = Departures.of(balancer), balancer.frontend.driver.pool
             for stub in stubs:
                 stub.handler = never_responds
@@ -232,17 +232,17 @@
                 pool._close_idle(upstream)
             await wait_until(lambda: pool.connection_count == 0)
             gate = ConnectGate(pool)
-            visitor = Visitor(balancer, http_request(klass, request_id="left", deadline_ms=2000))
+            visitor = BlockingClient(balancer, http_request(klass, request_id="left", deadline_ms=2000))
             await wait_until(lambda: gate.connect_count == 1)
             gate.opened.set()
             gate.opened.clear()
             await wait_until(lambda: gate.connect_count == 2)  # its answer does not come, so a copy is begun
-            assert received(*stubs) == ["left"]
-            visitor.leave(reset)
+            assert received_request_ids(*stubs) == ["left"]
+            visitor.disconnect(reset)
             await wait_until(lambda: seen.gone == ["left"])
             gate.opened.set()
-            await all_quiet(balancer)
-            assert received(*stubs) == ["left"]
+            await wait_until_idle(balancer)
+            assert received_request_ids(*stubs) == ["left"]
 
     run(main())
 
@@ -253,7 +253,7 @@
 
 
 async def leave_unheard(
-    visitor: Visitor, reset: bool, due: Callable[[], int], then: Callable[[], None] = lambda: None
+    visitor: BlockingClient, reset: bool, due: Callable[[], int], then: Callable[[], None] = lambda: None
 ) -> None:
     """The client leaves while the loop reads from its sockets, and stays there until a timer is overdue.
 
@@ -265,7 +265,7 @@
 
     def leave() -> None:
         loop.remove_reader(inner)
-        visitor.leave(reset)
+        visitor.disconnect(reset)
         closed = time.monotonic_ns()
         while time.monotonic_ns() <= max(due(), closed) + LATEST:
             pass
@@ -291,13 +291,13 @@
             assert "200" in (await balancer.fetch(http_request("send", request_id="warm"))).start_line
             (server,) = driver.decision_module.servers.values()
             server.backoff_until = time.monotonic_ns() + 100_000_000  # it looks at least once in vain
-            visitor = Visitor(balancer, http_request(klass, request_id="left"))
+            visitor = BlockingClient(balancer, http_request(klass, request_id="left"))
             await wait_until(lambda: seen.waits("left") > 0)
             server.backoff_until = 0
             await leave_unheard(visitor, reset, lambda: seen.waits("left"))
             await wait_until(lambda: "left" in seen.gone)
-            await all_quiet(balancer)
-            assert "left" not in received(stub)
+            await wait_until_idle(balancer)
+            assert "left" not in received_request_ids(stub)
 
     run(main())
 
@@ -314,13 +314,13 @@
             driver.pool.reuse_delay_s = 0.2
             assert "200" in (await balancer.fetch(http_request(klass, request_id="first"))).start_line
             await wait_until(lambda: not balancer.frontend.connections)
-            visitor = Visitor(balancer, http_request(klass, request_id="left"))
+            visitor = BlockingClient(balancer, http_request(klass, request_id="left"))
             await wait_until(lambda: bool(driver.open_requests))
             rested = time.monotonic_ns() + int(driver.pool.reuse_delay_s * 1e9)
             await leave_unheard(visitor, reset, lambda: rested)
             await wait_until(lambda: seen.gone == ["left"])
-            await all_quiet(balancer)
-            assert received(stub) == ["first"]
+            await wait_until_idle(balancer)
+            assert received_request_ids(stub) == ["first"]
 
     run(main())
 
@@ -331,16 +331,16 @@
     async def main() -> None:
         stubs = [await StubServer(responds_with(http_response())).start() for _ in range(2)]
         async with running_balancer(*stubs) as balancer:
-            await warm(balancer, *stubs)
+            await warm_up(balancer, *stubs)
             for stub in stubs:
                 stub.handler = never_responds
             seen = Departures.of(balancer)
-            visitor = Visitor(balancer, http_request(klass, request_id="left"))
-            await wait_until(lambda: bool(received(*stubs)))
+            visitor = BlockingClient(balancer, http_request(klass, request_id="left"))
+            await wait_until(lambda: bool(received_request_ids(*stubs)))
             await leave_unheard(visitor, reset, lambda: seen.waits("left"))
             await wait_until(lambda: seen.gone == ["left"])
-            await all_quiet(balancer)
-            assert received(*stubs) == ["left"]
+            await wait_until_idle(balancer)
+            assert received_request_ids(*stubs) == ["left"]
 
     run(main())
 
@@ -353,12 +353,12 @@
     async def main() -> None:
         stubs = [await StubServer(responds_with(http_response())).start() for _ in range(2)]
         async with running_balancer(*stubs) as balancer:
-            await warm(balancer, *stubs)
+            await warm_up(balancer, *stubs)
             seen = Departures.of(balancer)
             for stub in stubs:
                 stub.handler = never_responds
-            visitor = Visitor(balancer, http_request(klass, request_id="left"))
-            await wait_until(lambda: bool(received(*stubs)))
+            visitor = BlockingClient(balancer, http_request(klass, request_id="left"))
+            await wait_until(lambda: bool(received_request_ids(*stubs)))
 
             def turn_away() -> None:
                 for stub in stubs:
@@ -367,8 +367,8 @@
 
             await leave_unheard(visitor, reset, lambda: 0, turn_away)
             await wait_until(lambda: seen.gone == ["left"])
-            await all_quiet(balancer)
-            assert received(*stubs) == ["left"]
+            await wait_until_idle(balancer)
+            assert received_request_ids(*stubs) == ["left"]
 
     run(main())
 
--- a/tests/node/test_process_stalls.py
+++ b/tests/node/test_process_stalls.py
@@ -35,8 +35,13 @@
     run,
     running_balancer,
 )
+from tests.node.test_disconnects_and_long_lists import (
+    BlockingClient,
+    received_request_ids,
+    wait_until_idle,
+    warm_up,
+)
 from tests.node.test_program import balancer_process, connect
-from tests.node.test_standing_terms import Visitor, all_quiet, received, warm
 
 Number = TypeVar("Number", int, float)
 
@@ -96,12 +101,12 @@
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
         async with running_balancer(stub) as balancer:
-            await warm(balancer, stub)
-            client = Visitor(balancer, http_request(class_name, request_id="left"))
-            stall = ClockStall(monkeypatch, reading_number, b"left", client.leave)
+            await warm_up(balancer, stub)
+            client = BlockingClient(balancer, http_request(class_name, request_id="left"))
+            stall = ClockStall(monkeypatch, reading_number, b"left", client.disconnect)
             await balancer.fetch(http_request("check", request_id="other"))
-            await all_quiet(balancer)
-            assert not stall.has_stalled or "left" not in received(stub)
+            await wait_until_idle(balancer)
+            assert not stall.has_stalled or "left" not in received_request_ids(stub)
 
     run(main())
 
--- a/tests/test_module_cost.py
+++ b/tests/test_decision_cost.py
@@ -19,9 +19,19 @@
 import pytest
 
 from dykeshift import rules
-from dykeshift.interface import Action, AttemptEnd, ListKind, Log, Outcome, Request, Send
-from dykeshift.interface import ServerEntry, ServerListUpdate, ServerState
-from dykeshift.rules import MAX_KNOWN_SERVERS, MAX_LOGGED_SERVERS, Balancer, ServerClassState, Server
+from dykeshift.interface import (
+    Action,
+    AttemptEnd,
+    ListKind,
+    Log,
+    Outcome,
+    Request,
+    Send,
+    ServerEntry,
+    ServerListUpdate,
+    ServerState,
+)
+from dykeshift.rules import MAX_KNOWN_SERVERS, MAX_LOGGED_SERVERS, Balancer, Server, ServerClassState
 from tests.harness import MS, S, make_settings
 
 SMALL = (100, 100)  # servers, tenants
--- a/tests/test_standing_terms.py
+++ b/tests/test_watch_retries_and_slow_start.py
@@ -32,7 +32,7 @@
 from dykeshift.node.call import CONNECT_TIMEOUT_S
 from dykeshift.node.discovery import LONG_POLL_GRACE_S, LONG_POLL_MS
 from dykeshift.rules import Balancer
-from tests.harness import MS, S, World, entry, make_settings
+from tests.harness import MS, BalancerHarness, S, make_settings, server_entry
 
 # ---- a change counts as told 6 s after discovery had it and could be reached ----
 
@@ -43,11 +43,11 @@
 NEXT_CALL = int((CONNECT_TIMEOUT_S + LONG_POLL_GRACE_S) * S)
 
 
-def pause_after(world: World, kind: ListKind) -> int:
+def pause_after(harness: BalancerHarness, kind: ListKind) -> int:
     """How long the module waits with the next call after this failure."""
-    world.announce(kind)
-    timers = [a.fire_at for a in world.actions if isinstance(a, SetTimer) and a.token == "watch"]
-    return timers[-1] - world.now
+    harness.update_server_list(kind)
+    timers = [a.fire_at for a in harness.actions if isinstance(a, SetTimer) and a.token == "watch"]
+    return timers[-1] - harness.now
 
 
 @pytest.mark.parametrize("ask_every", [1 * S, 10 * S, 3600 * S])
@@ -57,7 +57,7 @@
     """First and repeated failures alike, of a watch that stood, that never did, and after a move."""
     longest = 0
     for seed in range(20):
-        world = World(
+        harness = BalancerHarness(
             make_settings(
                 watch_discovery=True,
                 balancer_count=balancers,
@@ -66,31 +66,31 @@
             ),
             seed,
         )
-        longest = max(longest, *(pause_after(world, kind) for _ in range(8)))
-        world.announce(ListKind.FULL, entry(1))
-        longest = max(longest, *(pause_after(world, kind) for _ in range(8)))
-        world.balancer.on_discovery_moved(world.now)
-        longest = max(longest, *(pause_after(world, kind) for _ in range(8)))
+        longest = max(longest, *(pause_after(harness, kind) for _ in range(8)))
+        harness.update_server_list(ListKind.FULL, server_entry(1))
+        longest = max(longest, *(pause_after(harness, kind) for _ in range(8)))
+        harness.balancer.on_discovery_moved(harness.now)
+        longest = max(longest, *(pause_after(harness, kind) for _ in range(8)))
     late = (LOST_CALL + longest + NEXT_CALL) / S
     assert late <= TOLD / S, f"news is in after {late:.2f} s, of which the pause takes {longest / S:.2f} s"
 
 
 @pytest.mark.parametrize("balancers", [2, 420])
 def test_each_pause_after_a_failure_ends_with_a_call(balancers: int) -> None:
-    world = World(make_settings(watch_discovery=True, balancer_count=balancers))
+    harness = BalancerHarness(make_settings(watch_discovery=True, balancer_count=balancers))
     for n, kind in enumerate([ListKind.INTERRUPTED, ListKind.FAILED] * 4, start=1):
-        pause = pause_after(world, kind)
-        world.advance(pause - 1)
-        assert world.watches == n
-        world.advance(1)
-        assert world.watches == n + 1
+        pause = pause_after(harness, kind)
+        harness.advance(pause - 1)
+        assert harness.watch_count == n
+        harness.advance(1)
+        assert harness.watch_count == n + 1
 
 
 @pytest.mark.parametrize("kind", [ListKind.FAILED, ListKind.INTERRUPTED])
 def test_where_lists_are_pushed_the_module_leaves_the_calls_to_the_network_code(kind: ListKind) -> None:
-    world = World(make_settings(watch_discovery=False, balancer_count=420))
-    world.announce(kind)
-    assert not world.watches and not any(token == "watch" for _, token in world.timers)
+    harness = BalancerHarness(make_settings(watch_discovery=False, balancer_count=420))
+    harness.update_server_list(kind)
+    assert not harness.watch_count and not any(token == "watch" for _, token in harness.timers)
 
 
 # ---- a cold server under the sum of all processes ----
@@ -141,7 +141,7 @@
         self.work = int(
             LOAD * self.CORES * servers / sum(rates) * S
         )  # of a request at a whole server, on average
-        self.servers = {n: RemoteServer(entry(n)) for n in range(servers)}
+        self.servers = {n: RemoteServer(server_entry(n)) for n in range(servers)}
         self.numbers = count()
         self.events: list[tuple[int, int, Callable[[], None]]] = []
         self.requests: list[dict[str, ClientRequest]] = [{} for _ in rates]
