--- a/emulator/faults/proxy.py
+++ b/emulator/faults/proxy.py
@@ -9,36 +9,36 @@
 from dataclasses import dataclass, field
 from random import Random
 
-CHUNK = 65_536  # bytes read at once
+READ_SIZE_BYTES = 65_536  # bytes read at once
 SPLIT_PAUSE_S = 0.001  # between two pieces, so that they are read apart
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: closed with a reset, whatever waits to be sent
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: closed with a reset, whatever waits to be sent
 
 
 @dataclass(frozen=True, slots=True)
-class Tampering:
+class StreamFaults:
     """What one direction's bytes suffer; shares are of the pieces read."""
 
     delay_s: float = 0.0
     split_share: float = 0.0  # sent in two pieces
-    cut_share: float = 0.0  # half of the piece, then the end of the stream
+    truncate_share: float = 0.0  # half of the piece, then the end of the stream
     reset_share: float = 0.0  # half of the piece, then a reset
-    repeat_share: float = 0.0  # sent twice
-    spoil_share: float = 0.0  # with the replacement below
-    spoiled: bytes = b""
+    duplicate_share: float = 0.0  # sent twice
+    replace_share: float = 0.0  # with the replacement below
+    pattern: bytes = b""
     replacement: bytes = b""
 
 
-UNTOUCHED = Tampering()
+NO_STREAM_FAULTS = StreamFaults()
 
 
 @dataclass(slots=True)
-class Proxy:
+class FaultProxy:
     """Relays each connection to the target, and tampers with the bytes of either direction."""
 
     target: tuple[str, int]
     random: Random
-    towards_target: Tampering = UNTOUCHED
-    towards_client: Tampering = UNTOUCHED
+    faults_to_target: StreamFaults = NO_STREAM_FAULTS
+    faults_to_client: StreamFaults = NO_STREAM_FAULTS
     address: tuple[str, int] = ("", 0)
     _server: asyncio.Server | None = None
     _writers: set[asyncio.StreamWriter] = field(default_factory=set)
@@ -65,8 +65,8 @@
             self._writers |= {writer, target_writer}
             try:
                 async with asyncio.TaskGroup() as directions:
-                    directions.create_task(self._copy(reader, target_writer, self.towards_target))
-                    directions.create_task(self._copy(target_reader, writer, self.towards_client))
+                    directions.create_task(self._copy(reader, target_writer, self.faults_to_target))
+                    directions.create_task(self._copy(target_reader, writer, self.faults_to_client))
             except* (OSError, RuntimeError):
                 _reset(writer)
                 _reset(target_writer)
@@ -76,34 +76,34 @@
                 target_writer.transport.abort()
 
     async def _copy(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, tampering: Tampering
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, faults: StreamFaults
     ) -> None:
-        while data := await reader.read(CHUNK):
-            await asyncio.sleep(tampering.delay_s)
-            if self._happens(tampering.reset_share):
+        while data := await reader.read(READ_SIZE_BYTES):
+            await asyncio.sleep(faults.delay_s)
+            if self._should_inject(faults.reset_share):
                 writer.write(data[: len(data) // 2])
                 raise ConnectionResetError
-            if self._happens(tampering.cut_share):
+            if self._should_inject(faults.truncate_share):
                 data = data[: len(data) // 2]
                 writer.write(data)
                 break
-            if tampering.spoiled in data and self._happens(tampering.spoil_share):
-                data = data.replace(tampering.spoiled, tampering.replacement)
-            await self._write(writer, data, tampering)
+            if faults.pattern in data and self._should_inject(faults.replace_share):
+                data = data.replace(faults.pattern, faults.replacement)
+            await self._write(writer, data, faults)
         if writer.can_write_eof():
             writer.write_eof()
 
-    async def _write(self, writer: asyncio.StreamWriter, data: bytes, tampering: Tampering) -> None:
-        if self._happens(tampering.split_share):
+    async def _write(self, writer: asyncio.StreamWriter, data: bytes, faults: StreamFaults) -> None:
+        if self._should_inject(faults.split_share):
             half = len(data) // 2
             writer.write(data[:half])
             await asyncio.sleep(SPLIT_PAUSE_S)
             data = data[half:]
         writer.write(data)
-        if self._happens(tampering.repeat_share):
+        if self._should_inject(faults.duplicate_share):
             writer.write(data)
 
-    def _happens(self, share: float) -> bool:
+    def _should_inject(self, share: float) -> bool:
         return share > 0 and self.random.random() < share
 
 
@@ -112,6 +112,6 @@
     if connection is not None and connection.fileno() >= 0:
         with suppress(OSError):
             linger = socket.socket(fileno=connection.fileno())
-            linger.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+            linger.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             linger.detach()
     writer.transport.abort()
--- a/emulator/soak/balancers.py
+++ b/emulator/soak/balancers.py
@@ -16,161 +16,173 @@
 from emulator.deployment import BALANCER_LIMITS, start_balancer
 from emulator.faults.shim import Faults, SystemCall
 from emulator.free_ports import reserve_port
-from emulator.soak.connections import PEER_GONE
+from emulator.soak.connections import CONNECTION_ERRORS
 from emulator.soak.discovery import Discovery
-from emulator.soak.plan import HOLD_S, Plan
-from emulator.soak.records import Journal, ProcessRecord
+from emulator.soak.plan import STALL_S, Plan
+from emulator.soak.records import ProcessRecord, RunRecords
 
-POLL_S = 0.02
-FRONT_NOTICES_S = 0.3  # after SIGTERM the front goes on dealing out connections for so long
-HOLDS_APART_S = 1.0  # one at a time is what the terms allow
-DOWN_S = 0.3  # from the end of a process to the start of the next one
+READY_POLL_INTERVAL_S = 0.02
+DEREGISTRATION_DELAY_S = 0.3  # after SIGTERM the front goes on dealing out connections for so long
+MIN_STALL_INTERVAL_S = 1.0  # one at a time is what the terms allow
+RESTART_PAUSE_S = 0.3  # from the end of a process to the start of the next one
 
 
-class Balancer:
+class ManagedBalancer:
     """One balancer; its address stays, its processes come and go."""
 
     def __init__(
         self,
-        number: int,
+        index: int,
         plan: Plan,
         discovery: Discovery,
         folder: Path,
         environment: dict[str, str],
-        journal: Journal,
+        run_records: RunRecords,
     ) -> None:
-        self.number = number
-        self.reservation = reserve_port()
-        self.address: tuple[str, int] = self.reservation.getsockname()
+        self.index = index
+        self.port_reservation = reserve_port()
+        self.address: tuple[str, int] = self.port_reservation.getsockname()
         self.plan = plan
         self.discovery = discovery
         self.folder = folder
         self.environment = environment
-        self.journal = journal
-        self.discovery_address = 0  # which of its two
+        self.run_records = run_records
+        self.discovery_address_index = 0  # which of its two
         self.process: asyncio.subprocess.Process | None = None
         self.record: ProcessRecord | None = None
-        self.held_at = -math.inf  # when it last got no processor time
-        self.may_be_held = True
+        self.last_stalled_at = -math.inf  # when it last got no processor time
+        self.may_stall = True
 
     @property
-    def configuration(self) -> Path:
+    def config_path(self) -> Path:
         """The file that NODE_CONFIG names."""
-        return self.folder / f"balancer-{self.number}.json"
+        return self.folder / f"balancer-{self.index}.json"
 
-    def in_service(self) -> bool:
+    def is_in_service(self) -> bool:
         """Whether the front deals out connections to it."""
         record = self.record
-        if record is None or record.ready_at is None or record.kill_at is not None:
+        if record is None or record.ready_at is None or record.sigkill_at is not None:
             return False
-        return record.term_at is None or time.monotonic() < record.term_at + FRONT_NOTICES_S
+        return record.sigterm_at is None or time.monotonic() < record.sigterm_at + DEREGISTRATION_DELAY_S
 
     async def start(self) -> None:
         """Start a process; returns before it is ready."""
-        self._write_configuration()
-        self.record = ProcessRecord(self.number, time.monotonic())
-        self.journal.processes.append(self.record)
-        with open(self.folder / f"balancer-{self.number}.log", "ab") as log:
-            variables = {"NODE_CONFIG": str(self.configuration), **self.environment}
+        self._write_config()
+        self.record = ProcessRecord(self.index, time.monotonic())
+        self.run_records.processes.append(self.record)
+        with open(self.folder / f"balancer-{self.index}.log", "ab") as log:
+            variables = {"NODE_CONFIG": str(self.config_path), **self.environment}
             self.process = await start_balancer(variables, log, log, start_new_session=True)
-        self.discovery.tell_new_process(self.number)
-        await self._wait_ready(self.record, self.process)
+        self.discovery.note_process_start(self.index)
+        await self._wait_until_ready(self.record, self.process)
 
-    def _write_configuration(self) -> None:
-        host, port = self.discovery.addresses[self.number][self.discovery_address]
-        known = msgspec.to_builtins(self.discovery.listing(None))
-        text = json.dumps(
+    def _write_config(self) -> None:
+        host, port = self.discovery.addresses[self.index][self.discovery_address_index]
+        known_list = msgspec.to_builtins(self.discovery.listing(None))
+        config_text = json.dumps(
             {
-                "name": f"n{self.number}",
+                "name": f"n{self.index}",
                 "listen": "{}:{}".format(*self.address),
                 "discovery": f"{host}:{port}",
-                "seed": f"{self.plan.seed}/{self.number}",
+                "seed": f"{self.plan.seed}/{self.index}",
                 "limits": BALANCER_LIMITS,
-                "known": known,
-                "settings": {**self.plan.settings(), "me": self.number},
+                "known": known_list,
+                "settings": {**self.plan.build_settings(), "me": self.index},
             }
         )
-        fresh = self.configuration.with_suffix(".new")
-        fresh.write_text(text)
-        fresh.replace(self.configuration)
+        new_file = self.config_path.with_suffix(".new")
+        new_file.write_text(config_text)
+        new_file.replace(self.config_path)
 
-    async def _wait_ready(self, record: ProcessRecord, process: asyncio.subprocess.Process) -> None:
-        while process.returncode is None and record.ready_at is None and record.term_at is None:
-            with suppress(TimeoutError, *PEER_GONE):
+    async def _wait_until_ready(self, record: ProcessRecord, process: asyncio.subprocess.Process) -> None:
+        while process.returncode is None and record.ready_at is None and record.sigterm_at is None:
+            with suppress(TimeoutError, *CONNECTION_ERRORS):
                 async with asyncio.timeout(1.0):
                     reader, writer = await asyncio.open_connection(*self.address)
                     writer.write(b"GET /ready HTTP/1.1\r\nHost: b\r\nConnection: close\r\n\r\n")
                     if b" 200 " in await reader.readuntil(b"\r\n"):
                         record.ready_at = time.monotonic()
                     writer.transport.abort()
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
 
-    def hang_up(self) -> None:
+    def switch_discovery(self) -> None:
         """Move it to its other discovery address."""
-        self.discovery_address = 1 - self.discovery_address
-        self.discovery.agents[self.number].moved_at = time.monotonic()
-        self._write_configuration()
+        self.discovery_address_index = 1 - self.discovery_address_index
+        self.discovery.agents[self.index].address_changed_at = time.monotonic()
+        self._write_config()
         self._signal(signal.SIGHUP)
 
     async def restart(self) -> None:
         """End it as a planned restart does, and start it anew."""
         record, process = self.record, self.process
-        if record is None or process is None or record.term_at is not None or process.returncode is not None:
+        if (
+            record is None
+            or process is None
+            or record.sigterm_at is not None
+            or process.returncode is not None
+        ):
             return
-        record.term_at = time.monotonic()
+        record.sigterm_at = time.monotonic()
         self._signal(signal.SIGTERM)
         try:
-            async with asyncio.timeout(self.plan.kill_after_s()):
+            async with asyncio.timeout(self.plan.sigkill_delay_s()):
                 await process.wait()
         except TimeoutError:
-            record.kill_at = time.monotonic()
+            record.sigkill_at = time.monotonic()
             self._signal(signal.SIGKILL)
-        await self._start_after_end()
+        await self._restart_after_exit()
 
     async def kill(self) -> None:
         """Kill it outright, and start it anew."""
-        if self.record is None or self.record.term_at is not None:
+        if self.record is None or self.record.sigterm_at is not None:
             return
-        self.record.kill_at = time.monotonic()
+        self.record.sigkill_at = time.monotonic()
         self._signal(signal.SIGKILL)
-        await self._start_after_end()
+        await self._restart_after_exit()
 
-    async def hold(self) -> None:
+    async def stall(self) -> None:
         """Give its process no processor time for a moment, unless it had none a moment ago.
 
         One that the shim holds up now and then is left alone: the terms know of one hold at a time.
         """
-        held, now = self.process, time.monotonic()
-        held_by_shim = any(rule.call is SystemCall.CLOCK for rule in self.plan.faults[self.number].rules)
-        if held is not None and not held_by_shim and self.may_be_held and now > self.held_at + HOLDS_APART_S:
-            self.held_at = now
+        stalled_process, now = self.process, time.monotonic()
+        is_stalled_by_shim = any(
+            rule.call is SystemCall.CLOCK for rule in self.plan.process_faults[self.index].rules
+        )
+        if (
+            stalled_process is not None
+            and not is_stalled_by_shim
+            and self.may_stall
+            and now > self.last_stalled_at + MIN_STALL_INTERVAL_S
+        ):
+            self.last_stalled_at = now
             self._signal(signal.SIGSTOP)
-            await asyncio.sleep(HOLD_S)
+            await asyncio.sleep(STALL_S)
             with suppress(ProcessLookupError):
-                held.send_signal(signal.SIGCONT)
+                stalled_process.send_signal(signal.SIGCONT)
 
-    async def _start_after_end(self) -> None:
-        await self.note_end()
-        await asyncio.sleep(DOWN_S)
+    async def _restart_after_exit(self) -> None:
+        await self.record_exit()
+        await asyncio.sleep(RESTART_PAUSE_S)
         await self.start()
 
-    async def note_end(self) -> None:
+    async def record_exit(self) -> None:
         """Wait for the process's end and record it."""
         if self.process is not None and self.record is not None:
             self.record.exit_code = await self.process.wait()
             self.record.ended_at = time.monotonic()
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         """End it for good, whatever it does."""
-        self.reservation.close()
+        self.port_reservation.close()
         if self.process is not None and self.process.returncode is None:
             self.process.kill()
             await self.process.wait()
 
-    def _signal(self, number: signal.Signals) -> None:
+    def _signal(self, signal_number: signal.Signals) -> None:
         if self.process is not None and self.process.returncode is None:
             with suppress(ProcessLookupError):
-                os.kill(self.process.pid, number)
+                os.kill(self.process.pid, signal_number)
 
 
 def shim_environment(faults: Faults, library: Path) -> dict[str, str]:
--- a/emulator/soak/clients.py
+++ b/emulator/soak/clients.py
@@ -10,41 +10,43 @@
 from dataclasses import dataclass
 from random import Random
 
-from emulator.soak.connections import PEER_GONE
-from emulator.soak.records import Effect, Journal, RequestRecord
+from emulator.soak.connections import CONNECTION_ERRORS
+from emulator.soak.records import Idempotency, RequestRecord, RunRecords
 
-CLASSES = {Effect.SAFE: "read", Effect.KEYED: "write", Effect.UNSAFE: "order"}
-GIVE_UP_S = 2.0  # after its time a client waits no longer: the request is lost by then
-PIECE_PAUSE_S = 0.004
-ALL_STARTED_S = 1.0  # all at once would make the recorder late
-AGAIN = "-again"  # of the id by which a request is sent once more
+CLASS_NAMES = {Idempotency.SAFE: "read", Idempotency.KEYED: "write", Idempotency.UNSAFE: "order"}
+RESPONSE_WAIT_MARGIN_S = 2.0  # after its time a client waits no longer: the request is lost by then
+SPLIT_WRITE_PAUSE_S = 0.004
+MAX_START_DELAY_S = 1.0  # all at once would make the recorder late
+RETRY_ID_SUFFIX = "-again"  # of the id by which a request is sent once more
 
 
 @dataclass(frozen=True, slots=True)
-class Habits:
+class ClientProfile:
     """How the clients of one run behave."""
 
-    count: int
-    think_s: float  # mean pause between two requests of a client
-    leave_share: float
-    piece_share: float
-    idle_count: int  # clients that connect, ask once at the most, and stay
-    patiences_s: dict[Effect, float]
+    client_count: int
+    mean_think_time_s: float  # mean pause between two requests of a client
+    abandon_share: float
+    split_write_share: float
+    idle_client_count: int  # clients that connect, ask once at the most, and stay
+    client_timeouts_s: dict[Idempotency, float]
 
 
-class Connection:
+class ClientConnection:
     """A client's connection to one balancer."""
 
-    def __init__(self, balancer: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.balancer = balancer
+    def __init__(
+        self, balancer_index: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        self.balancer_index = balancer_index
         self.reader = reader
         self.writer = writer
-        self.answers = 0
-        self.open = True
+        self.response_count = 0
+        self.is_open = True
 
     def close(self) -> None:
         """Close it, as a client that leaves does."""
-        self.open = False
+        self.is_open = False
         self.writer.transport.abort()
 
 
@@ -53,110 +55,125 @@
 
     def __init__(
         self,
-        habits: Habits,
+        client_profile: ClientProfile,
         addresses: list[tuple[str, int]],
-        in_service: Callable[[int], bool],
-        journal: Journal,
+        is_in_service: Callable[[int], bool],
+        run_records: RunRecords,
         random: Random,
     ) -> None:
-        self.habits = habits
+        self.client_profile = client_profile
         self.addresses = addresses
-        self.in_service = in_service
-        self.journal = journal
+        self.is_in_service = is_in_service
+        self.run_records = run_records
         self.random = random
-        self.numbers = itertools.count()
+        self.request_numbers = itertools.count()
         self.stopping = False
 
     async def run(self, until: float) -> None:
         """Ask until that time, and wait for the last answers."""
-        tasks = [asyncio.create_task(self._client(until)) for _ in range(self.habits.count)]
-        tasks += [asyncio.create_task(self._idle_client(until)) for _ in range(self.habits.idle_count)]
+        tasks = [
+            asyncio.create_task(self._run_client(until)) for _ in range(self.client_profile.client_count)
+        ]
+        tasks += [
+            asyncio.create_task(self._run_idle_client(until))
+            for _ in range(self.client_profile.idle_client_count)
+        ]
         await asyncio.gather(*tasks)
 
     # ---- one client ----
 
-    async def _client(self, until: float) -> None:
-        connection: Connection | None = None
-        await asyncio.sleep(self.random.uniform(0.0, ALL_STARTED_S))
+    async def _run_client(self, until: float) -> None:
+        connection: ClientConnection | None = None
+        await asyncio.sleep(self.random.uniform(0.0, MAX_START_DELAY_S))
         while time.monotonic() < until:
-            await asyncio.sleep(self.random.expovariate(1 / self.habits.think_s))
-            if connection is None or not connection.open or connection.reader.at_eof():
+            await asyncio.sleep(self.random.expovariate(1 / self.client_profile.mean_think_time_s))
+            if connection is None or not connection.is_open or connection.reader.at_eof():
                 if connection is not None:
                     connection.close()
                 connection = await self._connect()
             if connection is not None:
-                await self._ask(connection)
+                await self._request_photo(connection)
         if connection is not None:
             connection.close()
 
-    async def _idle_client(self, until: float) -> None:
+    async def _run_idle_client(self, until: float) -> None:
         while time.monotonic() < until:
             connection = await self._connect()
             if connection is not None:
-                with suppress(TimeoutError, *PEER_GONE):
+                with suppress(TimeoutError, *CONNECTION_ERRORS):
                     async with asyncio.timeout(max(0.0, until - time.monotonic())):
                         await connection.reader.read()
                 connection.close()
             await asyncio.sleep(self.random.uniform(0.05, 0.2))
 
-    async def _connect(self) -> Connection | None:
-        serving = [number for number in range(len(self.addresses)) if self.in_service(number)]
-        if not serving:
+    async def _connect(self) -> ClientConnection | None:
+        candidates = [number for number in range(len(self.addresses)) if self.is_in_service(number)]
+        if not candidates:
             return None
-        balancer = self.random.choice(serving)
+        balancer_index = self.random.choice(candidates)
         try:
-            return Connection(balancer, *await asyncio.open_connection(*self.addresses[balancer]))
+            return ClientConnection(
+                balancer_index, *await asyncio.open_connection(*self.addresses[balancer_index])
+            )
         except OSError:
             return None
 
     # ---- one request ----
 
-    async def _ask(self, connection: Connection) -> None:
-        effect = self.random.choice(list(Effect))
-        patience_s = self.habits.patiences_s[effect] * self.random.uniform(0.5, 1.0)
-        record = await self._send(connection, f"q{next(self.numbers)}", effect, patience_s)
-        crossed = record.status is None and record.left_at is None and not record.answer_bytes
-        if crossed and record.earlier_answers:
-            again = await self._connect()
-            if again is not None:
-                record.sent_again = record.id + AGAIN
-                await self._send(again, record.sent_again, effect, patience_s)
-                again.close()
+    async def _request_photo(self, connection: ClientConnection) -> None:
+        idempotency = self.random.choice(list(Idempotency))
+        client_timeout_s = self.client_profile.client_timeouts_s[idempotency] * self.random.uniform(0.5, 1.0)
+        record = await self._send(connection, f"q{next(self.request_numbers)}", idempotency, client_timeout_s)
+        was_unanswered = (
+            record.status is None and record.client_closed_at is None and not record.response_bytes
+        )
+        if was_unanswered and record.earlier_response_count:
+            retry_connection = await self._connect()
+            if retry_connection is not None:
+                record.retry_id = record.id + RETRY_ID_SUFFIX
+                await self._send(retry_connection, record.retry_id, idempotency, client_timeout_s)
+                retry_connection.close()
 
     async def _send(
-        self, connection: Connection, name: str, effect: Effect, patience_s: float
+        self, connection: ClientConnection, request_id: str, idempotency: Idempotency, client_timeout_s: float
     ) -> RequestRecord:
-        record = RequestRecord(name, connection.balancer, effect, patience_s, connection.answers)
-        leaves = self.random.random() < self.habits.leave_share
-        leave_s = self.random.uniform(0.0, patience_s) if leaves else patience_s + GIVE_UP_S
+        record = RequestRecord(
+            request_id, connection.balancer_index, idempotency, client_timeout_s, connection.response_count
+        )
+        abandons = self.random.random() < self.client_profile.abandon_share
+        wait_s = (
+            self.random.uniform(0.0, client_timeout_s)
+            if abandons
+            else client_timeout_s + RESPONSE_WAIT_MARGIN_S
+        )
         try:
-            await self._write(connection, _message(record))
+            await self._write(connection, _build_message(record))
             record.sent_at = time.monotonic()
-            self.journal.requests[name] = record
-            async with asyncio.timeout(leave_s):
-                await self._read_answer(connection, record)
-            connection.answers += 1
+            self.run_records.requests[request_id] = record
+            async with asyncio.timeout(wait_s):
+                await self._read_response(connection, record)
+            connection.response_count += 1
         except TimeoutError:
             connection.close()
-            record.left_at = time.monotonic() if leaves else None
-        except (*PEER_GONE, ValueError):
+            record.client_closed_at = time.monotonic() if abandons else None
+        except (*CONNECTION_ERRORS, ValueError):
             connection.close()
             record.ended_at = time.monotonic()
         return record
 
-    async def _write(self, connection: Connection, message: bytes) -> None:
-        if self.random.random() < self.habits.piece_share:
-            cut = self.random.randrange(1, len(message))
-            connection.writer.write(message[:cut])
-            await asyncio.sleep(PIECE_PAUSE_S)
-            message = message[cut:]
+    async def _write(self, connection: ClientConnection, message: bytes) -> None:
+        if self.random.random() < self.client_profile.split_write_share:
+            split_at = self.random.randrange(1, len(message))
+            connection.writer.write(message[:split_at])
+            await asyncio.sleep(SPLIT_WRITE_PAUSE_S)
+            message = message[split_at:]
         connection.writer.write(message)
 
     @staticmethod
-    async def _read_answer(connection: Connection, record: RequestRecord) -> None:
+    async def _read_response(connection: ClientConnection, record: RequestRecord) -> None:
         reader = connection.reader
         first = await reader.readexactly(1)
-        record.answer_bytes = 1
+        record.response_bytes = 1
         lines = (first + await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
         headers = {
             key.lower(): value.strip() for key, _, value in (line.partition(":") for line in lines[1:])
@@ -164,22 +181,22 @@
         body = await reader.readexactly(int(headers["content-length"]))
         record.ended_at, record.body = time.monotonic(), body
         record.status = int(lines[0].split()[1])
-        record.answer_bytes += len(body)
+        record.response_bytes += len(body)
         if headers.get("connection") == "close":
             connection.close()
 
 
-def _message(record: RequestRecord) -> bytes:
+def _build_message(record: RequestRecord) -> bytes:
     lines = [
-        f"{'GET' if record.effect is Effect.SAFE else 'POST'} /photo HTTP/1.1",
+        f"{'GET' if record.idempotency is Idempotency.SAFE else 'POST'} /photo HTTP/1.1",
         "Host: backend.local",
         f"X-Request-Id: {record.id}",
-        f"X-Class: {CLASSES[record.effect]}",
+        f"X-Class: {CLASS_NAMES[record.idempotency]}",
         "X-Tenant: acme",
-        f"X-Deadline-Ms: {int(record.patience_s * 1000)}",
+        f"X-Deadline-Ms: {int(record.client_timeout_s * 1000)}",
     ]
-    if record.effect is Effect.KEYED:
-        lines.append(f"Idempotency-Key: key-{record.id.removesuffix(AGAIN)}")
-    if record.effect is not Effect.SAFE:
+    if record.idempotency is Idempotency.KEYED:
+        lines.append(f"Idempotency-Key: key-{record.id.removesuffix(RETRY_ID_SUFFIX)}")
+    if record.idempotency is not Idempotency.SAFE:
         lines.append("Content-Length: 0")
     return "\r\n".join([*lines, "", ""]).encode()
--- a/emulator/soak/command.py
+++ b/emulator/soak/command.py
@@ -13,22 +13,22 @@
 from emulator.errors import BarFailedError
 from emulator.faults.shim import ShimBuildError
 from emulator.soak.rules import Rule
-from emulator.soak.run import Result, run_seed
+from emulator.soak.run import SoakResult, run_seed
 
-MOST_JOBS = 4  # runs side by side: each has processes of its own
-MOST_TOLD = 5  # breaches of a run that are told in full
+MAX_JOBS = 4  # runs side by side: each has processes of its own
+MAX_DESCRIBED_BREACHES = 5  # breaches of a run that are told in full
 
 
-def describe(result: Result) -> Iterator[str]:
+def describe_result(result: SoakResult) -> Iterator[str]:
     """A line for the run, and lines for what it broke."""
     plan = result.plan
     verdict = f"{len(result.breaches)} BREACHES" if result.breaches else "kept"
     yield (
-        f"seed {plan.seed}: {verdict}; {plan.balancers} balancers, {result.requests} requests, "
-        f"{result.answered} served, {result.attempts} attempts, {result.crossed} crossed a close, "
-        f"recorder late by {result.worst_lag_s * 1000:.0f} ms at most"
+        f"seed {plan.seed}: {verdict}; {plan.balancer_count} balancers, {result.request_count} requests, "
+        f"{result.served_count} served, {result.attempt_count} attempts, "
+        f"{result.resent_count} crossed a close, recorder late by {result.max_lag_s * 1000:.0f} ms at most"
     )
-    for breach, lines in list(zip(result.breaches, result.stories, strict=True))[:MOST_TOLD]:
+    for breach, lines in list(zip(result.breaches, result.timelines, strict=True))[:MAX_DESCRIBED_BREACHES]:
         yield f"  {breach.rule.value}: {breach.subject}: {breach.detail}"
         yield from (f"    {line}" for line in lines)
     if result.breaches:
@@ -39,7 +39,7 @@
 @click.option("--seeds", default=4, show_default=True, type=click.IntRange(1, 10_000), help="Runs.")
 @click.option("--first", default=1, show_default=True, type=click.IntRange(0), help="The first seed.")
 @click.option("--seconds", default=10.0, show_default=True, type=click.FloatRange(3, 600), help="Of each.")
-@click.option("--jobs", default=2, show_default=True, type=click.IntRange(1, MOST_JOBS), help="Side by side.")
+@click.option("--jobs", default=2, show_default=True, type=click.IntRange(1, MAX_JOBS), help="Side by side.")
 @click.option(
     "--logs", type=click.Path(file_okay=False, path_type=Path), help="Keep the balancers' logs here."
 )
@@ -58,7 +58,7 @@
                 for run in as_completed(runs):
                     result = run.result()
                     broken += bool(result.breaches)
-                    for line in describe(result):
+                    for line in describe_result(result):
                         click.echo(line)
             except ShimBuildError as error:
                 raise click.ClickException(str(error)) from None
--- a/emulator/soak/connections.py
+++ b/emulator/soak/connections.py
@@ -6,5 +6,5 @@
 
 # How a connection ends under who reads or writes: by its peer, or by a fault of the plan (the event loop
 # raises RuntimeError for a write on a transport that is closed).
-PEER_GONE = (asyncio.IncompleteReadError, OSError, RuntimeError)
-CONNECTION_OVER = (asyncio.CancelledError, *PEER_GONE)  # or with the run
+CONNECTION_ERRORS = (asyncio.IncompleteReadError, OSError, RuntimeError)
+CONNECTION_ERRORS_OR_CANCELLED = (asyncio.CancelledError, *CONNECTION_ERRORS)  # or with the run
--- a/emulator/soak/discovery.py
+++ b/emulator/soak/discovery.py
@@ -12,18 +12,18 @@
 import msgspec
 
 from emulator.discovery_schema import Instance, Listing
-from emulator.soak.connections import CONNECTION_OVER
-from emulator.soak.plants import Plant
-from emulator.soak.records import Journal, Told
+from emulator.soak.connections import CONNECTION_ERRORS_OR_CANCELLED
+from emulator.soak.deliberate_breaches import DeliberateBreach
+from emulator.soak.records import DrainRecord, RunRecords
 from emulator.soak.servers import Server
 
-COUNTS_AS_TOLD_S = 6.0  # after discovery had a change and could be reached
-MOVE_S = 4.0  # after a move to another address
-LOOK_S = 0.02  # between two looks whether a change counts as told by now
+INFORMED_AFTER_S = 6.0  # after discovery had a change and could be reached
+ADDRESS_CHANGE_S = 4.0  # after a move to another address
+CHECK_INTERVAL_S = 0.02  # between two looks whether a change counts as told by now
 
 
 @dataclass(slots=True)
-class Entry:
+class ListEntry:
     """One server of the list."""
 
     server: Server
@@ -32,20 +32,24 @@
 
 
 @dataclass(slots=True)
-class Agent:
+class DiscoveryAgent:
     """Where one balancer asks; it may be silent until some time."""
 
-    balancer: int
+    balancer_index: int
     silent_until: float = 0.0
-    moved_at: float = -math.inf  # when the balancer was last told to ask at its other address
+    address_changed_at: float = -math.inf  # when the balancer was last told to ask at its other address
     writers: set[asyncio.StreamWriter] = field(default_factory=set)
 
-    def has_it_at(self, changed_at: float) -> float:
+    def available_at(self, changed_at: float) -> float:
         """When a change counts as with this agent, and in reach of its balancer."""
         at = max(changed_at, self.silent_until)
-        return at if at < self.moved_at - MOVE_S else max(at, self.moved_at + MOVE_S)
+        return (
+            at
+            if at < self.address_changed_at - ADDRESS_CHANGE_S
+            else max(at, self.address_changed_at + ADDRESS_CHANGE_S)
+        )
 
-    def reset(self) -> None:
+    def reset_connections(self) -> None:
         """Reset all open calls."""
         for writer in list(self.writers):
             writer.transport.abort()
@@ -54,14 +58,20 @@
 class Discovery:
     """The list of servers, its changes, and what each balancer has been told of them."""
 
-    def __init__(self, balancers: int, pushed: bool, plant: Plant, journal: Journal) -> None:
-        self.pushed = pushed
-        self.plant = plant
-        self.journal = journal
+    def __init__(
+        self,
+        balancer_count: int,
+        push_mode: bool,
+        deliberate_breach: DeliberateBreach,
+        run_records: RunRecords,
+    ) -> None:
+        self.push_mode = push_mode
+        self.deliberate_breach = deliberate_breach
+        self.run_records = run_records
         self.generation = 1
-        self.entries: dict[str, Entry] = {}
-        self.agents = [Agent(number) for number in range(balancers)]
-        self.addresses: list[list[tuple[str, int]]] = [[] for _ in range(balancers)]
+        self.entries: dict[str, ListEntry] = {}
+        self.agents = [DiscoveryAgent(number) for number in range(balancer_count)]
+        self.addresses: list[list[tuple[str, int]]] = [[] for _ in range(balancer_count)]
         self.changed = asyncio.Event()
 
     async def listen(self) -> None:
@@ -69,26 +79,26 @@
         for agent in self.agents:
             for _ in range(2):
                 server = await asyncio.start_server(partial(self._serve, agent), "127.0.0.1", 0)
-                self.addresses[agent.balancer].append(server.sockets[0].getsockname()[:2])
+                self.addresses[agent.balancer_index].append(server.sockets[0].getsockname()[:2])
 
-    def put(self, server: Server, lifecycle: str) -> None:
+    def update_server(self, server: Server, lifecycle: str) -> None:
         """Change one entry; one that goes out of service is noted, to be held against what is sent to it."""
         self.generation += 1
-        concealed = lifecycle == "leaving" and self.plant.conceals_drains
-        self.entries[server.name] = Entry(server, "active" if concealed else lifecycle, self.generation)
+        hides_drain = lifecycle == "leaving" and self.deliberate_breach.hides_drains
+        self.entries[server.name] = ListEntry(server, "active" if hides_drain else lifecycle, self.generation)
         if lifecycle == "leaving":
-            self.journal.told.append(Told(server.name, time.monotonic()))
+            self.run_records.drains.append(DrainRecord(server.name, time.monotonic()))
         self.changed.set()
         self.changed = asyncio.Event()
 
     def listing(self, since: int | None) -> Listing:
         """The whole list, or the changes since a generation."""
-        reset = since is None or since > self.generation
-        wanted = [e for e in self.entries.values() if reset or e.generation > (since or 0)]
-        instances = [self._instance(e) for e in wanted if not (reset and e.lifecycle == "left")]
-        return Listing(self.generation, reset, instances)
+        is_full = since is None or since > self.generation
+        selected = [e for e in self.entries.values() if is_full or e.generation > (since or 0)]
+        instances = [self._build_instance(e) for e in selected if not (is_full and e.lifecycle == "left")]
+        return Listing(self.generation, is_full, instances)
 
-    def _instance(self, entry: Entry) -> Instance:
+    def _build_instance(self, entry: ListEntry) -> Instance:
         host, port = entry.server.address
         return Instance(
             instance_id=entry.server.name,
@@ -97,57 +107,59 @@
             machine_type="m",
             cell=1,
             lifecycle=entry.lifecycle,
-            started_at_ms=0 if self.plant.conceals_starts else entry.server.started_unix_ms,
+            started_at_ms=0 if self.deliberate_breach.hides_starts else entry.server.started_unix_ms,
         )
 
-    async def count_as_told(self) -> None:
+    async def track_informed_balancers(self) -> None:
         """Note who counts as told by now though nothing has reached them; runs until it is cancelled.
 
         Where lists are pushed, what the agent has counts at once.
         """
-        patience_s = 0.0 if self.pushed else COUNTS_AS_TOLD_S
+        informed_delay_s = 0.0 if self.push_mode else INFORMED_AFTER_S
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             now = time.monotonic()
-            for told in self.journal.told:
+            for drain in self.run_records.drains:
                 for agent in self.agents:
-                    at = agent.has_it_at(told.changed_at) + patience_s
+                    at = agent.available_at(drain.changed_at) + informed_delay_s
                     if now > at:
-                        told.balancers.setdefault(agent.balancer, at)
+                        drain.informed_at.setdefault(agent.balancer_index, at)
 
-    def tell_new_process(self, balancer: int) -> None:
+    def note_process_start(self, balancer_index: int) -> None:
         """A process that starts has the whole list with its configuration."""
-        self._note_told(balancer)
+        self._note_informed(balancer_index)
 
-    def _note_told(self, balancer: int) -> None:
+    def _note_informed(self, balancer_index: int) -> None:
         now = time.monotonic()
-        for told in self.journal.told:
-            told.balancers.setdefault(balancer, now)
+        for drain in self.run_records.drains:
+            drain.informed_at.setdefault(balancer_index, now)
 
-    async def _serve(self, agent: Agent, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve(
+        self, agent: DiscoveryAgent, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         agent.writers.add(writer)
         try:
-            with suppress(*CONNECTION_OVER):
+            with suppress(*CONNECTION_ERRORS_OR_CANCELLED):
                 while True:
                     path = (await reader.readuntil(b"\r\n\r\n")).split()[1].decode()
-                    await self._answer(agent, path, reader, writer)
+                    await self._respond(agent, path, reader, writer)
         finally:
             agent.writers.discard(writer)
             writer.transport.abort()
 
-    async def _answer(
-        self, agent: Agent, path: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    async def _respond(
+        self, agent: DiscoveryAgent, path: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         query = dict(part.split("=") for part in path.partition("?")[2].split("&") if part)
         since = int(query["from"]) if "from" in query else None
-        hold_ends = time.monotonic() + int(query.get("hold_ms", "0")) / 1000
-        while since == self.generation and time.monotonic() < hold_ends:
+        hold_until = time.monotonic() + int(query.get("hold_ms", "0")) / 1000
+        while since == self.generation and time.monotonic() < hold_until:
             with suppress(TimeoutError):
-                async with asyncio.timeout(hold_ends - time.monotonic()):
+                async with asyncio.timeout(hold_until - time.monotonic()):
                     await self.changed.wait()
         await asyncio.sleep(max(0.0, agent.silent_until - time.monotonic()))
         if reader.at_eof():
             raise ConnectionResetError("the balancer has given the call up")
         body = msgspec.json.encode(self.listing(since))
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
-        self._note_told(agent.balancer)
+        self._note_informed(agent.balancer_index)
--- a/emulator/soak/plan.py
+++ b/emulator/soak/plan.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import Any
 
-from emulator.faults.proxy import UNTOUCHED, Tampering
+from emulator.faults.proxy import NO_STREAM_FAULTS, StreamFaults
 from emulator.faults.shim import (
     SHORT_TRANSFER,
     TRANSIENT_ERRORS_BY_CALL,
@@ -18,23 +18,25 @@
     fail_with,
     stall_for,
 )
-from emulator.soak.clients import CLASSES, Habits
-from emulator.soak.records import Effect
-from emulator.soak.rules import Terms
-from emulator.soak.servers import Mode
+from emulator.soak.clients import CLASS_NAMES, ClientProfile
+from emulator.soak.records import Idempotency
+from emulator.soak.rules import ProtocolLimits
+from emulator.soak.servers import ServerMode
 
 NS_PER_S = 1_000_000_000
 HOUR_S = 3600
-MOST_CLIENTS = 120  # more would make the recorder itself late
-LARGE_SHARE = 0.04  # of the seeds play with up to thirty balancers
-KILL_AFTER_S = 0.7  # beyond the longest deadline, which counts for 3 s at the most
-MOST_DEADLINE_S = 3.0
-LOAD = 0.7  # of what all servers together are good for
-HOLD_S = 0.14  # that a process gets no processor time for at any moment; terms allow 0.15
-HOLDS = 6  # of each balancer, beside one over SIGTERM and one over the last moments before SIGKILL
-HOLD_MS = 90  # that it is held up at a reading of its clock, as often as the share below says
-HOLD_SHARE = 0.0004
-CALL_SHARES = (0.01, 0.1, 0.3)
+MAX_CLIENTS = 120  # more would make the recorder itself late
+LARGE_FLEET_SHARE = 0.04  # of the seeds play with up to thirty balancers
+EXTRA_SIGKILL_DELAY_S = 0.7  # beyond the longest deadline, which counts for 3 s at the most
+MAX_COUNTED_CLIENT_TIMEOUT_S = 3.0
+LOAD_SHARE = 0.7  # of what all server_count together are good for
+STALL_S = 0.14  # that a process gets no processor time for at any at_s; terms allow 0.15
+STALLS_PER_BALANCER = (
+    6  # of each balancer, beside one over SIGTERM and one over the last stall_times_s before SIGKILL
+)
+CLOCK_STALL_MS = 90  # that it is held up at a reading of its clock, as often as the share below says
+CLOCK_STALL_SHARE = 0.0004
+CALL_FAULT_SHARES = (0.01, 0.1, 0.3)
 FAULTY_CALLS = (
     SystemCall.ACCEPT,
     SystemCall.SOCKET,
@@ -48,15 +50,15 @@
 class Action(enum.Enum):
     """What happens at one moment of a run."""
 
-    HANG_UP = "SIGHUP to another discovery address"
+    SWITCH_DISCOVERY = "SIGHUP to another discovery address"
     RESTART = "SIGTERM, SIGKILL at its earliest, and a new process"
     KILL = "SIGKILL outright, and a new process"
-    HOLD = "a process gets no processor time for a moment"
-    MODE = "a server behaves differently"
-    DRAIN = "a server drains, and a cold one replaces it"
-    SILENCE = "discovery is silent"
-    RESET_WATCHES = "open calls to discovery are reset"
-    LATE_LISTS = "discovery is late"
+    STALL = "a process gets no processor time for a moment"
+    SET_SERVER_MODE = "a server behaves differently"
+    DRAIN_SERVER = "a server drains, and a cold one replaces it"
+    SILENCE_DISCOVERY = "discovery is silent"
+    RESET_DISCOVERY_CALLS = "open calls to discovery are reset"
+    DELAY_LISTS = "discovery is late"
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,9 +67,9 @@
 
     at_s: float
     action: Action
-    balancer: int = 0
-    server: int = 0
-    mode: Mode = Mode.SOUND
+    balancer_index: int = 0
+    server_index: int = 0
+    mode: ServerMode = ServerMode.NORMAL
     seconds: float = 0.0
 
 
@@ -77,25 +79,25 @@
 
     seed: int
     seconds: float
-    balancers: int
-    servers: int
-    pushed: bool
+    balancer_count: int
+    server_count: int
+    push_mode: bool
     mean_work_s: float
-    server_rate: float  # requests a second that a warm server is good for
-    terms: Terms
-    habits: Habits
+    warm_server_requests_per_s: float  # requests a second that a warm server is good for
+    limits: ProtocolLimits
+    client_profile: ClientProfile
     events: tuple[Event, ...]
-    client_network: Tampering  # of either direction between clients and balancers
-    server_network: tuple[Tampering, ...]  # of the way back from each server
-    faults: tuple[Faults, ...] = field(default=())  # of each balancer's processes
+    client_network_faults: StreamFaults  # of either direction between client_count and balancers
+    server_response_faults: tuple[StreamFaults, ...]  # of the way back from each server
+    process_faults: tuple[Faults, ...] = field(default=())  # of each balancer's processes
 
-    def settings(self) -> dict[str, Any]:
+    def build_settings(self) -> dict[str, Any]:
         """The settings as the protocol words them."""
-        terms = self.terms
+        limits = self.limits
         return {
             "az": 0,
-            "balancers": self.balancers,
-            "discovery": "push" if self.pushed else "ask",
+            "balancers": self.balancer_count,
+            "discovery": "push" if self.push_mode else "ask",
             "stepNs": 2_000_000,
             "failureDomains": ["a"],
             "kinds": ["m"],
@@ -104,7 +106,7 @@
             "overShareWorth": 0.2,
             "bounds": {
                 "cancelling": True,
-                "maxAttempts": terms.attempt_limit,
+                "maxAttempts": limits.max_attempts,
                 "secondCopies": True,
                 "retryAfter": True,
                 "maxRetryAfterNs": 750_000_000,
@@ -114,132 +116,144 @@
             "obligations": {
                 "answerSlackNs": 8_000_000,
                 "askEveryNs": 10 * NS_PER_S,
-                "coldFrom": terms.cold_share,
-                "coldNs": int(terms.cold_s * NS_PER_S),
-                "drainGraceNs": int(terms.drain_grace_s * NS_PER_S),
-                "fallNs": int(terms.overload_window_s * NS_PER_S),
-                "tipMultiple": terms.overload_multiple,
+                "coldFrom": limits.cold_capacity_share,
+                "coldNs": int(limits.warm_up_s * NS_PER_S),
+                "drainGraceNs": int(limits.drain_grace_s * NS_PER_S),
+                "fallNs": int(limits.overload_window_s * NS_PER_S),
+                "tipMultiple": limits.overload_multiple,
             },
-            "services": [self._service(effect) for effect in Effect],
+            "services": [self._build_service(idempotency) for idempotency in Idempotency],
         }
 
-    def _service(self, effect: Effect) -> dict[str, Any]:
-        deadline_s = self.habits.patiences_s[effect]
+    def _build_service(self, idempotency: Idempotency) -> dict[str, Any]:
+        client_timeout_s = self.client_profile.client_timeouts_s[idempotency]
         return {
-            "name": CLASSES[effect],
-            "goalTimeNs": int(deadline_s / 2 * NS_PER_S),
-            "deadlineNs": int(deadline_s * NS_PER_S),
+            "name": CLASS_NAMES[idempotency],
+            "goalTimeNs": int(client_timeout_s / 2 * NS_PER_S),
+            "deadlineNs": int(client_timeout_s * NS_PER_S),
             "worth": 1.0,
-            "idempotency": effect.value,
+            "idempotency": idempotency.value,
             "group": "all",
-            "windowNs": int(self.terms.window_s * NS_PER_S),
+            "windowNs": int(self.limits.dedup_window_s * NS_PER_S),
             "lateShare": 0.2,
         }
 
-    def kill_after_s(self) -> float:
+    def sigkill_delay_s(self) -> float:
         """Seconds from SIGTERM to the earliest SIGKILL."""
-        return _kill_after_s(self.terms)
+        return _sigkill_delay_s(self.limits)
 
 
-def _kill_after_s(terms: Terms) -> float:
-    return min(terms.longest_deadline_s, MOST_DEADLINE_S) + KILL_AFTER_S
+def _sigkill_delay_s(limits: ProtocolLimits) -> float:
+    return min(limits.longest_client_timeout_s, MAX_COUNTED_CLIENT_TIMEOUT_S) + EXTRA_SIGKILL_DELAY_S
 
 
 def draw_plan(seed: int, seconds: float) -> Plan:
     """The run of this seed."""
     random = Random(f"soak/{seed}")
-    balancers = random.randint(15, 30) if random.random() < LARGE_SHARE else random.randint(2, 5)
-    servers = random.randint(5, 9)
-    patiences = {effect: random.uniform(0.4, 1.2) for effect in Effect}
-    terms = Terms(
-        longest_deadline_s=max(patiences.values()),
+    balancer_count = random.randint(15, 30) if random.random() < LARGE_FLEET_SHARE else random.randint(2, 5)
+    server_count = random.randint(5, 9)
+    client_timeouts_s = {idempotency: random.uniform(0.4, 1.2) for idempotency in Idempotency}
+    limits = ProtocolLimits(
+        longest_client_timeout_s=max(client_timeouts_s.values()),
         drain_grace_s=random.uniform(0.25, 0.6),
-        window_s=random.uniform(0.5, 2.0),
-        cold_share=random.uniform(0.05, 0.25),
-        cold_s=random.uniform(6.0, 12.0),
+        dedup_window_s=random.uniform(0.5, 2.0),
+        cold_capacity_share=random.uniform(0.05, 0.25),
+        warm_up_s=random.uniform(6.0, 12.0),
         overload_multiple=random.uniform(1.2, 2.0),
         overload_window_s=3.0,
-        attempt_limit=random.randint(2, 4),
+        max_attempts=random.randint(2, 4),
     )
-    clients = min(random.randint(12, 25) * balancers, MOST_CLIENTS)
-    think_s = random.uniform(0.1, 0.4)
+    client_count = min(random.randint(12, 25) * balancer_count, MAX_CLIENTS)
+    mean_think_time_s = random.uniform(0.1, 0.4)
     mean_work_s = random.uniform(0.01, 0.04)
-    habits = Habits(
-        count=clients,
-        think_s=think_s,
-        leave_share=random.uniform(0.0, 0.15),
-        piece_share=random.uniform(0.0, 0.3),
-        idle_count=random.choice([0, 0, 20, 150]),
-        patiences_s=patiences,
+    client_profile = ClientProfile(
+        client_count=client_count,
+        mean_think_time_s=mean_think_time_s,
+        abandon_share=random.uniform(0.0, 0.15),
+        split_write_share=random.uniform(0.0, 0.3),
+        idle_client_count=random.choice([0, 0, 20, 150]),
+        client_timeouts_s=client_timeouts_s,
     )
     return Plan(
         seed=seed,
         seconds=seconds,
-        balancers=balancers,
-        servers=servers,
-        pushed=random.random() < 0.5,
+        balancer_count=balancer_count,
+        server_count=server_count,
+        push_mode=random.random() < 0.5,
         mean_work_s=mean_work_s,
-        server_rate=clients / (think_s + mean_work_s) / servers / LOAD,
-        terms=terms,
-        habits=habits,
-        events=_draw_events(random, seconds, balancers, servers, _kill_after_s(terms)),
-        client_network=Tampering(split_share=random.choice([0.0, 0.1])),
-        server_network=tuple(_draw_network(random) for _ in range(servers)),
-        faults=tuple(_draw_faults(random, seed * 1000 + number) for number in range(balancers)),
+        warm_server_requests_per_s=client_count
+        / (mean_think_time_s + mean_work_s)
+        / server_count
+        / LOAD_SHARE,
+        limits=limits,
+        client_profile=client_profile,
+        events=_draw_events(random, seconds, balancer_count, server_count, _sigkill_delay_s(limits)),
+        client_network_faults=StreamFaults(split_share=random.choice([0.0, 0.1])),
+        server_response_faults=tuple(_draw_response_faults(random) for _ in range(server_count)),
+        process_faults=tuple(
+            _draw_process_faults(random, seed * 1000 + number) for number in range(balancer_count)
+        ),
     )
 
 
 def _draw_events(
-    random: Random, seconds: float, balancers: int, servers: int, kill_after_s: float
+    random: Random, seconds: float, balancer_count: int, server_count: int, sigkill_delay_s: float
 ) -> tuple[Event, ...]:
     events: list[Event] = []
-    for balancer in random.sample(range(balancers), max(1, balancers // 2)):
+    for balancer_index in random.sample(range(balancer_count), max(1, balancer_count // 2)):
         at_s = random.uniform(0.1, 0.6) * seconds
         action = random.choice([Action.RESTART, Action.RESTART, Action.RESTART, Action.KILL])
-        events.append(Event(at_s, action, balancer=balancer))
+        events.append(Event(at_s, action, balancer_index=balancer_index))
         if action is Action.RESTART:
-            end_s = at_s + kill_after_s - random.uniform(0.02, 0.5)
-            events += [Event(moment, Action.HOLD, balancer=balancer) for moment in (at_s - 0.01, end_s)]
+            shutdown_end_s = at_s + sigkill_delay_s - random.uniform(0.02, 0.5)
+            events += [
+                Event(stall_at_s, Action.STALL, balancer_index=balancer_index)
+                for stall_at_s in (at_s - 0.01, shutdown_end_s)
+            ]
         events += [  # close together, in any order
-            Event(at_s + random.uniform(-0.3, 1.0), Action.HANG_UP, balancer=balancer)
+            Event(at_s + random.uniform(-0.3, 1.0), Action.SWITCH_DISCOVERY, balancer_index=balancer_index)
             for _ in range(random.randint(0, 3))
         ]
-    for balancer in range(balancers):
-        moments = [random.uniform(0.0, 0.9) * seconds for _ in range(HOLDS)]
-        events += [Event(at_s, Action.HOLD, balancer=balancer) for at_s in moments]
-    for server in random.sample(range(servers), servers // 2):
+    for balancer_index in range(balancer_count):
+        stall_times_s = [random.uniform(0.0, 0.9) * seconds for _ in range(STALLS_PER_BALANCER)]
+        events += [Event(at_s, Action.STALL, balancer_index=balancer_index) for at_s in stall_times_s]
+    for server_index in random.sample(range(server_count), server_count // 2):
         at_s = random.uniform(0.05, 0.7) * seconds
-        mode = random.choice([mode for mode in Mode if mode is not Mode.SOUND])
-        events.append(Event(at_s, Action.MODE, server=server, mode=mode))
-        events.append(Event(at_s + random.uniform(1.0, 4.0), Action.MODE, server=server))
-    for server in random.sample(range(servers), random.randint(1, servers // 3)):
-        events.append(Event(random.uniform(0.1, 0.5) * seconds, Action.DRAIN, server=server))
-    for action in (Action.SILENCE, Action.RESET_WATCHES, Action.LATE_LISTS):
+        mode = random.choice([mode for mode in ServerMode if mode is not ServerMode.NORMAL])
+        events.append(Event(at_s, Action.SET_SERVER_MODE, server_index=server_index, mode=mode))
+        events.append(
+            Event(at_s + random.uniform(1.0, 4.0), Action.SET_SERVER_MODE, server_index=server_index)
+        )
+    for server_index in random.sample(range(server_count), random.randint(1, server_count // 3)):
+        events.append(
+            Event(random.uniform(0.1, 0.5) * seconds, Action.DRAIN_SERVER, server_index=server_index)
+        )
+    for action in (Action.SILENCE_DISCOVERY, Action.RESET_DISCOVERY_CALLS, Action.DELAY_LISTS):
         if random.random() < 0.5:
             at_s = random.uniform(0.1, 0.6) * seconds
             events.append(Event(at_s, action, seconds=random.uniform(0.5, 3.0)))
     return tuple(sorted(events, key=lambda event: event.at_s))
 
 
-def _draw_network(random: Random) -> Tampering:
+def _draw_response_faults(random: Random) -> StreamFaults:
     """The way back from one server: as it should be, for half of them."""
     if random.random() < 0.5:
-        return UNTOUCHED
-    return Tampering(
+        return NO_STREAM_FAULTS
+    return StreamFaults(
         delay_s=random.uniform(0.0, 0.005),
         split_share=random.choice([0.0, 0.3]),
-        cut_share=random.choice([0.0, 0.02]),
+        truncate_share=random.choice([0.0, 0.02]),
         reset_share=random.choice([0.0, 0.02]),
     )
 
 
-def _draw_faults(random: Random, seed: int) -> Faults:
+def _draw_process_faults(random: Random, seed: int) -> Faults:
     """What the shim does to the processes of one balancer: nothing, to a third of them."""
     rules: list[FaultRule] = []
     clock_steps: list[ClockStep] = []
     if random.random() < 0.67:
         for call in random.sample(FAULTY_CALLS, random.randint(1, 3)):
-            share = random.choice(CALL_SHARES)
+            share = random.choice(CALL_FAULT_SHARES)
             rules += [
                 FaultRule(call, fail_with(error), share / 3)
                 for error in random.sample(TRANSIENT_ERRORS_BY_CALL[call], 1)
@@ -248,8 +262,10 @@
             if random.random() < 0.2:
                 rules.append(FaultRule(call, SHORT_TRANSFER, 0.02))
         if random.random() < 0.4:
-            rules.append(FaultRule(SystemCall.CLOCK, stall_for(HOLD_MS), HOLD_SHARE, max_faults=20))
+            rules.append(
+                FaultRule(SystemCall.CLOCK, stall_for(CLOCK_STALL_MS), CLOCK_STALL_SHARE, max_faults=20)
+            )
     if random.random() < 0.5:
-        off_s = random.choice([-HOUR_S, -5, 5, HOUR_S])
-        clock_steps.append(ClockStep(random.choice([0, random.randint(1000, 6000)]), off_s))
+        offset_s = random.choice([-HOUR_S, -5, 5, HOUR_S])
+        clock_steps.append(ClockStep(random.choice([0, random.randint(1000, 6000)]), offset_s))
     return Faults(seed, tuple(rules), tuple(clock_steps))
--- a/emulator/soak/records.py
+++ b/emulator/soak/records.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 
-class Effect(enum.Enum):
+class Idempotency(enum.Enum):
     """What it does to run a request twice."""
 
     SAFE = "pure"  # the words of the settings
@@ -14,14 +14,14 @@
     UNSAFE = "side_effect"
 
 
-class AttemptEnd(enum.Enum):
+class AttemptOutcome(enum.Enum):
     """What became of an attempt at its server."""
 
     OPEN = "open"
     ANSWERED = "answered"
-    TURNED_AWAY = "turned away"  # with a promise that it never ran
+    REJECTED = "turned away"  # with a promise that it never ran
     RESET = "reset"
-    GIVEN_UP = "given up"  # by the balancer
+    CANCELLED = "given up"  # by the balancer
 
 
 @dataclass(slots=True)
@@ -29,21 +29,21 @@
     """One request as its client saw it."""
 
     id: str
-    balancer: int
-    effect: Effect
-    patience_s: float
-    earlier_answers: int  # on the same connection
+    balancer_index: int
+    idempotency: Idempotency
+    client_timeout_s: float
+    earlier_response_count: int  # on the same connection
     sent_at: float = 0.0  # its last byte
-    left_at: float | None = None  # its client closed the connection
+    client_closed_at: float | None = None  # its client closed the connection
     ended_at: float | None = None  # the last byte of its answer, or the end of its connection
     status: int | None = None  # None: no whole answer has come
     body: bytes = b""
-    answer_bytes: int = 0  # that came, be the answer whole or not
-    sent_again: str | None = None  # the id by which the client sent it once more
+    response_bytes: int = 0  # that came, be the answer whole or not
+    retry_id: str | None = None  # the id by which the client sent it once more
 
-    def over_at(self) -> float | None:
+    def closed_at(self) -> float | None:
         """When nothing more may be begun for it."""
-        times = [time for time in (self.left_at, self.ended_at) if time is not None]
+        times = [time for time in (self.client_closed_at, self.ended_at) if time is not None]
         return min(times, default=None)
 
 
@@ -51,72 +51,72 @@
 class AttemptRecord:
     """One attempt as its server saw it."""
 
-    request: str
-    server: str
-    began_at: float  # its first byte
-    arrived_at: float  # its last byte
+    request_id: str
+    server_name: str
+    first_byte_at: float  # its first byte
+    last_byte_at: float  # its last byte
     deadline_ms: int
     body: bytes = b""  # of the answer
-    end: AttemptEnd = AttemptEnd.OPEN
+    outcome: AttemptOutcome = AttemptOutcome.OPEN
     ended_at: float | None = None
 
 
 @dataclass(slots=True)
-class ServerLife:
+class ServerRecord:
     """What the rules need to know of one server process."""
 
     name: str
     started_at: float | None = None  # None: long ago
-    requests_per_s: float = 0.0  # when warm
+    warm_requests_per_s: float = 0.0  # when warm
 
 
 @dataclass(slots=True)
 class ProcessRecord:
     """One balancer process."""
 
-    balancer: int
+    balancer_index: int
     started_at: float
     ready_at: float | None = None
-    term_at: float | None = None
-    kill_at: float | None = None  # when SIGKILL was sent
+    sigterm_at: float | None = None
+    sigkill_at: float | None = None  # when SIGKILL was sent
     ended_at: float | None = None
     exit_code: int | None = None
 
 
 @dataclass(slots=True)
-class Told:
+class DrainRecord:
     """A change that takes a server out of service, and when each balancer counts as told of it."""
 
-    server: str
+    server_name: str
     changed_at: float
-    balancers: dict[int, float] = field(default_factory=dict)
+    informed_at: dict[int, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class Lag:
     """How late the recording process itself was."""
 
-    at: float
-    late_s: float
+    measured_at: float
+    lag_s: float
 
 
 @dataclass(slots=True)
-class Journal:
+class RunRecords:
     """All records of one run."""
 
     requests: dict[str, RequestRecord] = field(default_factory=dict)
     attempts: list[AttemptRecord] = field(default_factory=list)
     processes: list[ProcessRecord] = field(default_factory=list)
-    servers: dict[str, ServerLife] = field(default_factory=dict)
-    told: list[Told] = field(default_factory=list)
+    servers: dict[str, ServerRecord] = field(default_factory=dict)
+    drains: list[DrainRecord] = field(default_factory=list)
     lags: list[Lag] = field(default_factory=list)
-    ends_at: float = 0.0  # when the clients stopped asking
+    clients_stopped_at: float = 0.0  # when the clients stopped asking
 
-    def attempts_of(self, request: str) -> list[AttemptRecord]:
+    def attempts_of(self, request_id: str) -> list[AttemptRecord]:
         """The attempts of one request, in the order of their arrival."""
-        found = [attempt for attempt in self.attempts if attempt.request == request]
-        return sorted(found, key=lambda attempt: attempt.arrived_at)
+        attempts = [attempt for attempt in self.attempts if attempt.request_id == request_id]
+        return sorted(attempts, key=lambda attempt: attempt.last_byte_at)
 
-    def worst_lag_s(self) -> float:
+    def max_lag_s(self) -> float:
         """The longest that the recording process was late."""
-        return max((lag.late_s for lag in self.lags), default=0.0)
+        return max((lag.lag_s for lag in self.lags), default=0.0)
--- a/emulator/soak/run.py
+++ b/emulator/soak/run.py
@@ -13,145 +13,156 @@
 
 import uvloop
 
-from emulator.faults.proxy import UNTOUCHED, Proxy, Tampering
+from emulator.faults.proxy import NO_STREAM_FAULTS, FaultProxy, StreamFaults
 from emulator.faults.shim import build_shim
-from emulator.soak.balancers import Balancer, shim_environment
+from emulator.soak.balancers import ManagedBalancer, shim_environment
 from emulator.soak.clients import Clients
 from emulator.soak.discovery import Discovery
 from emulator.soak.plan import Action, Event, Plan, draw_plan
-from emulator.soak.plants import NOTHING, PLANTS, Plant
-from emulator.soak.records import Journal, Lag
-from emulator.soak.rules import Breach, Judge, Rule, story
+from emulator.soak.deliberate_breaches import DELIBERATE_BREACHES, NO_DELIBERATE_BREACH, DeliberateBreach
+from emulator.soak.records import Lag, RunRecords
+from emulator.soak.rules import Breach, Rule, RuleChecker, request_timeline
 from emulator.soak.servers import Server
 
-READY_PATIENCE_S = 12.0  # for the first processes; whoever is not ready by then has broken its rule
-LAG_PAUSE_S = 0.02
-LAG_WORTH_NOTING_S = 0.01
-LATE_LISTS_S = 1.5
-CRASH_AFTER_S = 2.0
+READY_TIMEOUT_S = 12.0  # for the first processes; whoever is not ready by then has broken its rule
+LAG_SAMPLE_INTERVAL_S = 0.02
+MIN_RECORDED_LAG_S = 0.01
+LIST_DELAY_S = 1.5
+CRASH_DELAY_S = 2.0
 
 
 @dataclass(frozen=True, slots=True)
-class Result:
+class SoakResult:
     """What a run came to."""
 
     plan: Plan
     breaches: tuple[Breach, ...]
-    stories: tuple[tuple[str, ...], ...]  # of each breach
-    requests: int
-    answered: int
-    crossed: int  # by the close of a resting connection, unread, and sent once more
-    attempts: int
-    worst_lag_s: float
+    timelines: tuple[tuple[str, ...], ...]  # of each breach
+    request_count: int
+    served_count: int
+    resent_count: int  # by the close of a resting connection, unread, and sent once more
+    attempt_count: int
+    max_lag_s: float
 
 
 class SoakRun:
     """The parts of one run."""
 
-    def __init__(self, plan: Plan, folder: Path, library: Path, plant: Plant) -> None:
+    def __init__(self, plan: Plan, folder: Path, library: Path, deliberate_breach: DeliberateBreach) -> None:
         self.plan = plan
-        self.plant = plant
+        self.deliberate_breach = deliberate_breach
         self.random = Random(f"soak run/{plan.seed}")
-        self.journal = Journal()
-        self.discovery = Discovery(plan.balancers, plan.pushed, plant, self.journal)
+        self.run_records = RunRecords()
+        self.discovery = Discovery(plan.balancer_count, plan.push_mode, deliberate_breach, self.run_records)
         self.servers = [
-            self._server(f"s{number}", network) for number, network in enumerate(plan.server_network)
+            self._create_server(f"s{number}", response_faults)
+            for number, response_faults in enumerate(plan.server_response_faults)
         ]
-        self.proxies: list[Proxy] = []
-        self.replacements = 0
-        self.lists_late_s = 0.0
+        self.proxies: list[FaultProxy] = []
+        self.replacement_count = 0
+        self.list_delay_s = 0.0
         self.balancers = [
-            Balancer(
+            ManagedBalancer(
                 number,
                 plan,
                 self.discovery,
                 folder,
-                shim_environment(plan.faults[number], library) if plan.faults else {},
-                self.journal,
+                shim_environment(plan.process_faults[number], library) if plan.process_faults else {},
+                self.run_records,
             )
-            for number in range(plan.balancers)
+            for number in range(plan.balancer_count)
         ]
         self.tasks: set[asyncio.Task[None]] = set()
 
-    def _server(self, name: str, way_back: Tampering = UNTOUCHED) -> Server:
-        network = (self.plant.balancer_to_server, way_back)
+    def _create_server(self, name: str, response_faults: StreamFaults = NO_STREAM_FAULTS) -> Server:
+        network_faults = (self.deliberate_breach.balancer_to_server, response_faults)
         plan = self.plan
-        return Server(name, plan.mean_work_s, plan.server_rate, network, self.journal, self.random)
+        return Server(
+            name,
+            plan.mean_work_s,
+            plan.warm_server_requests_per_s,
+            network_faults,
+            self.run_records,
+            self.random,
+        )
 
-    async def play(self) -> Result:
+    async def run(self) -> SoakResult:
         """Everything from start to end, which comes whatever happens."""
         try:
             await self._start()
-            await self._play_events()
+            await self._run_events()
         finally:
             for task in self.tasks:
                 task.cancel()
             await asyncio.gather(*self.tasks, return_exceptions=True)
             for balancer in self.balancers:
-                await balancer.end()
+                await balancer.stop()
             for server in self.servers:
                 server.stop()
             for proxy in self.proxies:
                 proxy.stop()
-        return self._result()
+        return self._build_result()
 
     async def _start(self) -> None:
         await self.discovery.listen()
         for server in self.servers:
             await server.start(cold=False)
-            self.discovery.put(server, "active")
-        self._spawn(self.discovery.count_as_told())
+            self.discovery.update_server(server, "active")
+        self._spawn(self.discovery.track_informed_balancers())
         self._spawn(self._watch_lag())
-        self._spawn(self._plant_process_fault())
+        self._spawn(self._inject_process_fault())
         starts = [asyncio.create_task(balancer.start()) for balancer in self.balancers]
-        await asyncio.wait(starts, timeout=READY_PATIENCE_S)
+        await asyncio.wait(starts, timeout=READY_TIMEOUT_S)
         self.tasks.update(start for start in starts if not start.done())
 
     async def _client_addresses(self) -> list[tuple[str, int]]:
         """Where clients connect to each balancer: to the proxy before it, where there is one."""
-        network = self._client_network()
-        if network == (UNTOUCHED, UNTOUCHED):
+        network_faults = self._client_network_faults()
+        if network_faults == (NO_STREAM_FAULTS, NO_STREAM_FAULTS):
             return [balancer.address for balancer in self.balancers]
         for balancer in self.balancers:
-            proxy = Proxy(balancer.address, self.random, *network)
+            proxy = FaultProxy(balancer.address, self.random, *network_faults)
             await proxy.listen()
             self.proxies.append(proxy)
         return [proxy.address for proxy in self.proxies]
 
-    def _client_network(self) -> tuple[Tampering, Tampering]:
-        way_there, way_back = self.plant.client_to_balancer, self.plant.balancer_to_client
-        usual = self.plan.client_network
+    def _client_network_faults(self) -> tuple[StreamFaults, StreamFaults]:
+        request_faults, response_faults = (
+            self.deliberate_breach.client_to_balancer,
+            self.deliberate_breach.balancer_to_client,
+        )
+        planned = self.plan.client_network_faults
         return (
-            way_there if way_there is not UNTOUCHED else usual,
-            way_back if way_back is not UNTOUCHED else usual,
+            request_faults if request_faults is not NO_STREAM_FAULTS else planned,
+            response_faults if response_faults is not NO_STREAM_FAULTS else planned,
         )
 
-    async def _plant_process_fault(self) -> None:
+    async def _inject_process_fault(self) -> None:
         """Stop a process as it starts, or crash it later, as no deployment does."""
         while (process := self.balancers[0].process) is None:
-            await asyncio.sleep(LAG_PAUSE_S)
-        if self.plant.stops_process:
-            self.balancers[0].may_be_held = False  # the end of a hold would let it go on
+            await asyncio.sleep(LAG_SAMPLE_INTERVAL_S)
+        if self.deliberate_breach.suspends_process:
+            self.balancers[0].may_stall = False  # the end of a hold would let it go on
             process.send_signal(signal.SIGSTOP)
-        if self.plant.crashes_process:
-            await asyncio.sleep(CRASH_AFTER_S)
+        if self.deliberate_breach.crashes_process:
+            await asyncio.sleep(CRASH_DELAY_S)
             process.send_signal(signal.SIGSEGV)
 
-    async def _play_events(self) -> None:
-        self.journal.lags.clear()  # what it was late by while all started at once judges nothing
-        began = time.monotonic()
-        until = began + self.plan.seconds
+    async def _run_events(self) -> None:
+        self.run_records.lags.clear()  # what it was late by while all started at once judges nothing
+        started_at = time.monotonic()
+        ends_at = started_at + self.plan.seconds
         for event in self.plan.events:
-            self._spawn(self._at(began + event.at_s, event))
+            self._spawn(self._run_event(started_at + event.at_s, event))
         clients = Clients(
-            self.plan.habits,
+            self.plan.client_profile,
             await self._client_addresses(),
-            lambda number: self.balancers[number].in_service(),
-            self.journal,
+            lambda number: self.balancers[number].is_in_service(),
+            self.run_records,
             Random(f"soak clients/{self.plan.seed}"),
         )
-        await clients.run(until)
-        self.journal.ends_at = time.monotonic()
+        await clients.run(ends_at)
+        self.run_records.clients_stopped_at = time.monotonic()
         for balancer in self.balancers:
             process, record = balancer.process, balancer.record
             if process is not None and record is not None and process.returncode is not None:
@@ -160,72 +171,72 @@
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         self.tasks.add(asyncio.create_task(work))
 
-    async def _at(self, moment: float, event: Event) -> None:
-        await asyncio.sleep(max(0.0, moment - time.monotonic()))
-        balancer, server = self.balancers[event.balancer], self.servers[event.server]
-        if event.action is Action.HANG_UP:
-            balancer.hang_up()
+    async def _run_event(self, due_at: float, event: Event) -> None:
+        await asyncio.sleep(max(0.0, due_at - time.monotonic()))
+        balancer, server = self.balancers[event.balancer_index], self.servers[event.server_index]
+        if event.action is Action.SWITCH_DISCOVERY:
+            balancer.switch_discovery()
         elif event.action is Action.RESTART:
             await balancer.restart()
         elif event.action is Action.KILL:
             await balancer.kill()
-        elif event.action is Action.HOLD:
-            await balancer.hold()
-        elif event.action is Action.MODE:
+        elif event.action is Action.STALL:
+            await balancer.stall()
+        elif event.action is Action.SET_SERVER_MODE:
             server.mode = event.mode
-        elif event.action is Action.DRAIN:
+        elif event.action is Action.DRAIN_SERVER:
             await self._drain(server)
         else:
             self._disturb_discovery(event)
 
     async def _drain(self, server: Server) -> None:
-        await asyncio.sleep(self.lists_late_s)
+        await asyncio.sleep(self.list_delay_s)
         server.draining = True
-        self.discovery.put(server, "leaving")
-        self.replacements += 1
-        fresh = self._server(f"r{self.replacements}")
-        self.servers.append(fresh)
-        await fresh.start(cold=True)
-        await asyncio.sleep(self.lists_late_s)
-        self.discovery.put(fresh, "active")
+        self.discovery.update_server(server, "leaving")
+        self.replacement_count += 1
+        replacement = self._create_server(f"r{self.replacement_count}")
+        self.servers.append(replacement)
+        await replacement.start(cold=True)
+        await asyncio.sleep(self.list_delay_s)
+        self.discovery.update_server(replacement, "active")
 
     def _disturb_discovery(self, event: Event) -> None:
-        if event.action is Action.LATE_LISTS:
-            self.lists_late_s = LATE_LISTS_S
+        if event.action is Action.DELAY_LISTS:
+            self.list_delay_s = LIST_DELAY_S
             return
         for agent in self.discovery.agents:
-            if event.action is Action.SILENCE:
+            if event.action is Action.SILENCE_DISCOVERY:
                 agent.silent_until = time.monotonic() + event.seconds
             else:
-                agent.reset()
+                agent.reset_connections()
 
     async def _watch_lag(self) -> None:
         while True:
             before = time.monotonic()
-            await asyncio.sleep(LAG_PAUSE_S)
+            await asyncio.sleep(LAG_SAMPLE_INTERVAL_S)
             now = time.monotonic()
-            if now - before - LAG_PAUSE_S > LAG_WORTH_NOTING_S:
-                self.journal.lags.append(Lag(now, now - before - LAG_PAUSE_S))
+            if now - before - LAG_SAMPLE_INTERVAL_S > MIN_RECORDED_LAG_S:
+                self.run_records.lags.append(Lag(now, now - before - LAG_SAMPLE_INTERVAL_S))
 
-    def _result(self) -> Result:
-        breaches = Judge(self.journal, self.plan.terms, proxied=bool(self.proxies)).breaches()
-        requests = self.journal.requests.values()
-        return Result(
+    def _build_result(self) -> SoakResult:
+        breaches = RuleChecker(self.run_records, self.plan.limits, proxied=bool(self.proxies)).find_breaches()
+        requests = self.run_records.requests.values()
+        return SoakResult(
             plan=self.plan,
             breaches=tuple(breaches),
-            stories=tuple(tuple(story(self.journal, breach.subject)) for breach in breaches),
-            requests=len(requests),
-            answered=sum(request.status == 200 for request in requests),
-            crossed=sum(request.sent_again is not None for request in requests),
-            attempts=len(self.journal.attempts),
-            worst_lag_s=self.journal.worst_lag_s(),
+            timelines=tuple(tuple(request_timeline(self.run_records, breach.subject)) for breach in breaches),
+            request_count=len(requests),
+            served_count=sum(request.status == 200 for request in requests),
+            resent_count=sum(request.retry_id is not None for request in requests),
+            attempt_count=len(self.run_records.attempts),
+            max_lag_s=self.run_records.max_lag_s(),
         )
 
 
-def run_seed(seed: int, seconds: float, folder: Path, planted: Rule | None = None) -> Result:
+def run_seed(seed: int, seconds: float, folder: Path, broken_rule: Rule | None = None) -> SoakResult:
     """Play the run of one seed in this process, with a planted breach of one rule or of none."""
     folder.mkdir(parents=True, exist_ok=True)
-    plant = PLANTS[planted] if planted is not None else NOTHING
-    run = SoakRun(draw_plan(seed, seconds), folder, build_shim(), plant)
+    deliberate_breach = DELIBERATE_BREACHES[broken_rule] if broken_rule is not None else NO_DELIBERATE_BREACH
+    soak_run = SoakRun(draw_plan(seed, seconds), folder, build_shim(), deliberate_breach)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        return runner.run(run.play())
+        return runner.run(soak_run.run())
--- a/tests/emulator/test_soak.py
+++ b/tests/emulator/test_soak.py
@@ -13,12 +13,12 @@
 from click.testing import CliRunner
 
 from emulator.cli import main
-from emulator.faults.proxy import Proxy, Tampering
-from emulator.soak.command import describe
+from emulator.faults.proxy import FaultProxy, StreamFaults
+from emulator.soak.command import describe_result
 from emulator.soak.plan import draw_plan
-from emulator.soak.records import Effect, Journal, RequestRecord
-from emulator.soak.rules import Judge, Rule
-from emulator.soak.run import Result, run_seed
+from emulator.soak.records import Idempotency, RequestRecord, RunRecords
+from emulator.soak.rules import Rule, RuleChecker
+from emulator.soak.run import SoakResult, run_seed
 
 JOBS = 3
 SEED = 4  # of the planted runs: with drains, restarts, and starts that conceal matters for
@@ -26,7 +26,7 @@
 
 
 @pytest.fixture(scope="module")
-def planted(tmp_path_factory: pytest.TempPathFactory) -> Iterator[dict[Rule, Future[Result]]]:
+def planted(tmp_path_factory: pytest.TempPathFactory) -> Iterator[dict[Rule, Future[SoakResult]]]:
     """A run for each rule in which it is broken, side by side."""
     folder = tmp_path_factory.mktemp("planted")
     with ProcessPoolExecutor(JOBS, mp_context=multiprocessing.get_context("spawn")) as pool:
@@ -35,11 +35,11 @@
 
 @pytest.mark.parametrize("rule", Rule)
 def test_a_rule_that_is_broken_on_purpose_is_reported(
-    rule: Rule, planted: dict[Rule, Future[Result]]
+    rule: Rule, planted: dict[Rule, Future[SoakResult]]
 ) -> None:
     result = planted[rule].result()
     assert rule in {breach.rule for breach in result.breaches}
-    text = "\n".join(describe(result))
+    text = "\n".join(describe_result(result))
     assert f"  {result.breaches[0].rule.value}: " in text and f"soak --first {SEED} --seeds 1" in text
 
 
@@ -56,13 +56,13 @@
 
 @pytest.mark.parametrize(("late", "reported"), [(1, False), (2, True)])
 def test_more_than_one_final_answer_in_500_after_its_time_is_reported(late: int, reported: bool) -> None:
-    journal = Journal()
+    run_records = RunRecords()
     for number in range(600):
         ended_at = 1.1 if number < late else 0.5  # the client has gone 0.06 s after its second
-        journal.requests[str(number)] = RequestRecord(
-            str(number), 0, Effect.SAFE, 1.0, 0, ended_at=ended_at, status=503
+        run_records.requests[str(number)] = RequestRecord(
+            str(number), 0, Idempotency.SAFE, 1.0, 0, ended_at=ended_at, status=503
         )
-    breaches = Judge(journal, draw_plan(1, 10.0).terms).breaches()
+    breaches = RuleChecker(run_records, draw_plan(1, 10.0).limits).find_breaches()
     assert [breach.rule for breach in breaches] == [Rule.LOST] * reported
 
 
@@ -76,20 +76,20 @@
 
 
 @pytest.mark.parametrize(
-    ("tampering", "received"),
+    ("faults", "received"),
     [
-        (Tampering(), b"abcdefgh"),
-        (Tampering(split_share=1.0, delay_s=0.001), b"abcdefgh"),
-        (Tampering(cut_share=1.0), b"abcd"),
-        (Tampering(repeat_share=1.0), b"abcdefghabcdefgh"),
-        (Tampering(spoil_share=1.0, spoiled=b"cd", replacement=b"CD"), b"abCDefgh"),
-        (Tampering(reset_share=1.0), None),
+        (StreamFaults(), b"abcdefgh"),
+        (StreamFaults(split_share=1.0, delay_s=0.001), b"abcdefgh"),
+        (StreamFaults(truncate_share=1.0), b"abcd"),
+        (StreamFaults(duplicate_share=1.0), b"abcdefghabcdefgh"),
+        (StreamFaults(replace_share=1.0, pattern=b"cd", replacement=b"CD"), b"abCDefgh"),
+        (StreamFaults(reset_share=1.0), None),
     ],
 )
-def test_the_proxy_does_to_the_bytes_what_it_is_told(tampering: Tampering, received: bytes | None) -> None:
+def test_the_proxy_does_to_the_bytes_what_it_is_told(faults: StreamFaults, received: bytes | None) -> None:
     async def main() -> bytes | None:
         target = await asyncio.start_server(echo, "127.0.0.1", 0)
-        proxy = Proxy(target.sockets[0].getsockname(), Random(1), towards_client=tampering)
+        proxy = FaultProxy(target.sockets[0].getsockname(), Random(1), faults_to_client=faults)
         await proxy.listen()
         reader, writer = await asyncio.open_connection(*proxy.address)
         try:
