--- a/emulator/control/__init__.py
+++ b/emulator/control/__init__.py
@@ -1,1 +1,1 @@
-"""A control plane on one machine: control machines, agents, balancers, and what goes wrong with them."""
+"""Emulation of the control plane on one machine: control machines, agents, balancers, and their failures."""
--- a/emulator/control/durable_log.py
+++ b/emulator/control/durable_log.py
@@ -1,8 +1,9 @@
 """An append-only log of records that survives a crash at any point.
 
-Each record is preceded by its length and checksum. What a crash left unfinished at the end is cut off when
-the log is opened again; whatever `append` has returned from is there. So is what follows an `append` that
-failed half-way: its remains are cut off first, or all behind them would be taken for torn.
+Each record is preceded by its length and checksum. When the log is opened, an incomplete record that a crash
+has left at the end is removed; every record whose `append` has returned is there. An `append` that fails may
+also leave an incomplete record. It is removed before the next write: otherwise all records behind it would be
+discarded as incomplete when the log is opened again.
 """
 
 from __future__ import annotations
@@ -18,27 +19,25 @@
 from emulator.control.messages import Record
 
 RECORD_HEADER = struct.Struct("!II")  # length and checksum of the record that follows
-MAX_RECORD_BYTES = 16 * 1024 * 1024  # bytes; a longer one is taken for a torn header
+MAX_RECORD_BYTES = 16 * 1024 * 1024  # a header that states more is treated as damaged
 
-_decoder: msgspec.msgpack.Decoder[Record] = msgspec.msgpack.Decoder(Record)
+_record_decoder: msgspec.msgpack.Decoder[Record] = msgspec.msgpack.Decoder(Record)
 
-FaultPointHook = Callable[
-    [str], None
-]  # called at each point at which a crash is of interest; tests raise there
+FaultPointHook = Callable[[str], None]  # called at each point of a write at which tests simulate a crash
 
 
 def ignore_fault_point(point: str) -> None:
-    """The fault point of a machine that does not crash."""
+    """Do nothing: the hook of a machine that does not crash."""
 
 
 def encode_record(record: Record) -> bytes:
-    """The record as it stands in the file."""
+    """Return the record with its header, as it is stored in the file."""
     body = msgspec.msgpack.encode(record)
     return RECORD_HEADER.pack(len(body), zlib.crc32(body)) + body
 
 
 def decode_records(data: bytes) -> tuple[list[Record], int]:
-    """All whole records from the start, and the length that they take up."""
+    """Return all records before the first incomplete or damaged one, and their total length in bytes."""
     records: list[Record] = []
     end = 0
     while end + RECORD_HEADER.size <= len(data):
@@ -46,29 +45,29 @@
         body = data[end + RECORD_HEADER.size : end + RECORD_HEADER.size + length]
         if length > MAX_RECORD_BYTES or len(body) < length or zlib.crc32(body) != checksum:
             break
-        records.append(_decoder.decode(body))
+        records.append(_record_decoder.decode(body))
         end += RECORD_HEADER.size + length
     return records, end
 
 
 class DurableLog:
-    """The log of one machine; `records` is what was found in it as it was opened."""
+    """The log of one machine; `records` holds the records that were in it when it was opened."""
 
     def __init__(self, path: Path, on_fault_point: FaultPointHook = ignore_fault_point) -> None:
         self.on_fault_point = on_fault_point
         is_new = not path.exists()
         self.file = open(path, "r+b" if not is_new else "w+b", buffering=0)  # noqa: SIM115
-        self.records, end = decode_records(self.file.read())
-        self.end = end  # of the records that are durable, in bytes
-        self.unfinished = True  # there may be bytes behind that end
-        self._cut_off_unfinished()
+        self.records, durable_size = decode_records(self.file.read())
+        self.durable_size = durable_size  # bytes up to the end of the last durable record
+        self.may_have_torn_tail = True  # the file may hold bytes behind `durable_size`
+        self._truncate_torn_tail()
         os.fsync(self.file.fileno())
         if is_new:
             self._sync_folder(path.parent)
 
     @staticmethod
     def _sync_folder(folder: Path) -> None:
-        """Make the file's name durable too."""
+        """Make the directory entry of the new file durable."""
         descriptor = os.open(folder, os.O_RDONLY)
         try:
             os.fsync(descriptor)
@@ -76,13 +75,16 @@
             os.close(descriptor)
 
     def append(self, records: list[Record]) -> None:
-        """Write these; on return they are durable. OSError: they may be not, and may be tried again."""
+        """Write these records; they are durable when this returns.
+
+        OSError: they may not be durable, and the call may be repeated with the same records.
+        """
         if not records:
             return
         data = b"".join(map(encode_record, records))
         half = len(data) // 2
-        self._cut_off_unfinished()
-        self.unfinished = True
+        self._truncate_torn_tail()
+        self.may_have_torn_tail = True
         self.on_fault_point("before the write")
         self._write(data[:half])
         self.on_fault_point("in the middle of the write")
@@ -90,19 +92,20 @@
         self.on_fault_point("before the sync")
         os.fsync(self.file.fileno())
         self.on_fault_point("after the sync")
-        self.unfinished = False
-        self.end += len(data)
+        self.may_have_torn_tail = False
+        self.durable_size += len(data)
 
-    def _cut_off_unfinished(self) -> None:
-        """Remove what an append that failed has left.
+    def _truncate_torn_tail(self) -> None:
+        """Remove what a failed append has left in the file.
 
-        After a failed sync too: the system may take the pages for clean, so that another sync would do
-        without having written them. Written anew they are.
+        This includes an append whose sync failed: the kernel may mark the pages as clean after the failure,
+        so that a later sync would succeed without having written them. Therefore the records are written
+        again.
         """
-        if self.unfinished:
-            self.file.truncate(self.end)
-            self.unfinished = False
-        self.file.seek(self.end)
+        if self.may_have_torn_tail:
+            self.file.truncate(self.durable_size)
+            self.may_have_torn_tail = False
+        self.file.seek(self.durable_size)
 
     def _write(self, data: bytes) -> None:
         while data:
--- a/emulator/control/http_server.py
+++ b/emulator/control/http_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server for the stand-ins, on the parser and the bounds that the balancer uses."""
+"""A small HTTP/1.1 server for the emulated services, with the balancer's own parser and message limits."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 from dykeshift.node.http1 import MessageAssembler, UnacceptableMessage
 
-MAX_BODY = 4 * 1024 * 1024  # bytes
-BACKLOG = 1024
-_REASONS = {
+MAX_BODY_BYTES = 4 * 1024 * 1024
+ACCEPT_BACKLOG = 1024
+_REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     404: "Not Found",
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A whole request; header names are in lower case."""
+    """A complete request; header names are in lower case."""
 
     method: str
     path: str
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """An answer with JSON or plain text."""
+    """A response with a body of JSON or plain text."""
 
     body: bytes
     status: int = 200
@@ -46,13 +46,13 @@
 
 
 def query_int(request: HttpRequest, name: str, default: int) -> int:
-    """A whole number from the query, or the default where it is absent or none."""
+    """Return this query parameter as a non-negative integer, or the default if it is absent or not one."""
     text = request.query.get(name, "")
     return int(text) if text.isascii() and text.isdecimal() else default
 
 
 class HttpServer:
-    """Answers one request at a time on each connection and counts the bytes of all."""
+    """Processes one request at a time on each connection; counts the bytes of all connections."""
 
     def __init__(self, handler: Handler) -> None:
         self.handler = handler
@@ -61,13 +61,13 @@
         self.server: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> int:
-        """Begin to accept; the port is returned, as 0 picks one."""
+        """Start to accept connections and return the port; with port 0 the kernel chooses it."""
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: _Connection(self), host, port, backlog=BACKLOG)
+        self.server = await loop.create_server(lambda: _Connection(self), host, port, backlog=ACCEPT_BACKLOG)
         return int(self.server.sockets[0].getsockname()[1])
 
     def close(self) -> None:
-        """Stop accepting and end all connections."""
+        """Stop accepting connections and abort the open ones."""
         if self.server is not None:
             self.server.close()
         for connection in list(self.connections):
@@ -75,15 +75,15 @@
 
 
 class _Connection(MessageAssembler, asyncio.Protocol):
-    """One client's connection."""
+    """The connection of one client."""
 
     def __init__(self, server: HttpServer) -> None:
-        super().__init__(MAX_BODY)
+        super().__init__(MAX_BODY_BYTES)
         self.server = server
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
         self.target = b""
-        self.answering: asyncio.Task[None] | None = None
+        self.response_task: asyncio.Task[None] | None = None
 
     def abort(self) -> None:
         if self.transport is not None:
@@ -103,8 +103,8 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
         self.server.connections.discard(self)
-        if self.answering is not None:
-            self.answering.cancel()
+        if self.response_task is not None:
+            self.response_task.cancel()
 
     def on_message_begin(self) -> None:
         self.start_message()
@@ -114,22 +114,22 @@
         self.target += url
 
     def on_message_complete(self) -> None:
-        parts = urlsplit(self.target.decode("ascii", "replace"))
+        url = urlsplit(self.target.decode("ascii", "replace"))
         request = HttpRequest(
             method=self.parser.get_method().decode(),
-            path=parts.path,
-            query=dict(parse_qsl(parts.query)),
+            path=url.path,
+            query=dict(parse_qsl(url.query)),
             headers=self.headers,
             body=bytes(self.body),
         )
-        self.answering = asyncio.get_running_loop().create_task(self._answer(request))
+        self.response_task = asyncio.get_running_loop().create_task(self._respond(request))
 
-    async def _answer(self, request: HttpRequest) -> None:
+    async def _respond(self, request: HttpRequest) -> None:
         response = await self.server.handler(request)
         if self.transport is None:
             return
-        status = f"{response.status} {_REASONS[response.status]}"
-        head = f"HTTP/1.1 {status}\r\nContent-Length: {len(response.body)}\r\n\r\n"
+        status_line = f"{response.status} {_REASON_PHRASES[response.status]}"
+        head = f"HTTP/1.1 {status_line}\r\nContent-Length: {len(response.body)}\r\n\r\n"
         data = head.encode() + response.body
         self.server.bytes_out += len(data)
         self.transport.write(data)
--- a/emulator/control/messages.py
+++ b/emulator/control/messages.py
@@ -1,4 +1,4 @@
-"""What control machines say to one another, and what each of them writes to its log."""
+"""The messages that control machines exchange, and the records that each of them writes to its log."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 class Change(msgspec.Struct, frozen=True):
     """One change of the settings, as its publisher sent it."""
 
-    change_id: str  # the publisher's own; a change that is sent again bears the same
-    settings: str  # the whole settings object, as JSON
+    change_id: str  # chosen by the publisher, who repeats it when it sends the change again
+    settings: str  # the full settings object as JSON
 
 
 # ---- messages ----
 
 
 class Prepare(msgspec.Struct, frozen=True, tag=True):
-    """Phase 1a: asks for a promise to accept nothing below this ballot."""
+    """Phase 1a: requests a promise to accept no proposal with a lower ballot."""
 
     version: int
     ballot: int
 
 
 class Promise(msgspec.Struct, frozen=True, tag=True):
-    """Phase 1b: the promise, with what has been accepted before it."""
+    """Phase 1b: the promise, with the proposal that the acceptor has accepted last."""
 
     version: int
     ballot: int
-    accepted_ballot: int  # 0: nothing has been
+    accepted_ballot: int  # 0: none has been accepted
     accepted: Change | None
 
 
 class Accept(msgspec.Struct, frozen=True, tag=True):
-    """Phase 2a: asks to accept this change."""
+    """Phase 2a: requests the acceptance of this change."""
 
     version: int
     ballot: int
@@ -40,14 +40,14 @@
 
 
 class Accepted(msgspec.Struct, frozen=True, tag=True):
-    """Phase 2b: the change is accepted, durably."""
+    """Phase 2b: the change has been accepted and recorded durably."""
 
     version: int
     ballot: int
 
 
 class Refused(msgspec.Struct, frozen=True, tag=True):
-    """A higher ballot has been promised."""
+    """Rejects a proposal because a higher ballot has been promised."""
 
     version: int
     ballot: int
@@ -55,14 +55,14 @@
 
 
 class Chosen(msgspec.Struct, frozen=True, tag=True):
-    """A majority has accepted this change: it is the version for good."""
+    """A majority has accepted this change: it is the final content of the version."""
 
     version: int
     change: Change
 
 
 class Fetch(msgspec.Struct, frozen=True, tag=True):
-    """Asks for the versions chosen from this one on; the heartbeat of each machine."""
+    """Requests all chosen versions from this one on; also serves as the heartbeat of each machine."""
 
     version: int
 
@@ -71,7 +71,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True):
-    """Messages from one machine to another, as the body of `POST /v1/replica`."""
+    """Messages from one machine to another; the body of `POST /v1/replica`."""
 
     sender: int
     messages: list[Message]
@@ -81,14 +81,14 @@
 
 
 class PromiseRecord(msgspec.Struct, frozen=True, tag=True):
-    """No ballot below this one is accepted any more."""
+    """The machine accepts no proposal with a lower ballot than this one from now on."""
 
     version: int
     ballot: int
 
 
 class AcceptRecord(msgspec.Struct, frozen=True, tag=True):
-    """This change has been accepted."""
+    """The machine has accepted this change."""
 
     version: int
     ballot: int
@@ -96,7 +96,7 @@
 
 
 class ChosenRecord(msgspec.Struct, frozen=True, tag=True):
-    """This change is the version."""
+    """This change has been chosen as the version."""
 
     version: int
     change: Change
