--- a/emulator/control/contract.py
+++ b/emulator/control/contract.py
@@ -1,7 +1,7 @@
-"""What the processes of one run agree on: addresses, first lines, commands and reports.
+"""The definitions that the processes of one run share: addresses, configurations, commands and reports.
 
-Each process gets its configuration as one JSON line on its standard input and commands as further lines. It
-prints reports as JSON lines and ends by itself when its standard input ends.
+Each process reads its configuration as one line of JSON from its standard input and commands as further
+lines. It writes reports as lines of JSON to its standard output and ends when its standard input ends.
 """
 
 from __future__ import annotations
@@ -12,65 +12,68 @@
 
 from emulator.fleet.contract import Address, loopback
 
-MACHINE_BLOCK, AGENT_BLOCK, BALANCER_BLOCK = 67, 68, 69  # second bytes of the loopback addresses
+# Second bytes of the loopback addresses.
+MACHINE_ADDRESS_BLOCK = 67
+AGENT_ADDRESS_BLOCK = 68
+BALANCER_ADDRESS_BLOCK = 69
 
 
 class AddressPlan(msgspec.Struct, frozen=True):
-    """Ports chosen free by the supervisor; the rest follows from a member's number."""
+    """Derives each address from an index and from a free port that the supervisor has found."""
 
     machine_port: int
     agent_port: int
     balancer_port: int
 
-    def machine_address(self, number: int) -> Address:
-        """Where control machine `number` listens."""
-        return loopback(MACHINE_BLOCK, number, self.machine_port)
+    def machine_address(self, index: int) -> Address:
+        """Return the address on which this control machine listens."""
+        return loopback(MACHINE_ADDRESS_BLOCK, index, self.machine_port)
 
     def agent_address(self, balancer: int) -> Address:
-        """Where the agent on the machine of this balancer listens."""
-        return loopback(AGENT_BLOCK, balancer, self.agent_port)
+        """Return the address on which the agent of this balancer listens."""
+        return loopback(AGENT_ADDRESS_BLOCK, balancer, self.agent_port)
 
-    def balancer_address(self, number: int) -> Address:
-        """Where a real balancer listens."""
-        return loopback(BALANCER_BLOCK, number, self.balancer_port)
+    def balancer_address(self, index: int) -> Address:
+        """Return the address on which this real balancer listens."""
+        return loopback(BALANCER_ADDRESS_BLOCK, index, self.balancer_port)
 
 
 # ---- configurations ----
 
 
 class MachineConfig(msgspec.Struct, frozen=True):
-    """Of one control machine."""
+    """Configuration of one control machine."""
 
     index: int
     machines: int
     addresses: AddressPlan
     log_path: str
     seed: int
-    crash_after: int = 0  # end the process at this fault point of the log; 0: never
+    crash_after: int = 0  # number of the log's fault point at which the process ends; 0: it does not
 
 
 class AgentsConfig(msgspec.Struct, frozen=True):
-    """Of the process that hosts all agents."""
+    """Configuration of the process that runs all agents."""
 
-    regions: list[list[int]]  # the balancers of each region
+    regions: list[list[int]]  # the balancers, by region
     machines: int
     addresses: AddressPlan
     seed: int
 
 
 class HollowConfig(msgspec.Struct, frozen=True):
-    """Of a process with hollow balancers."""
+    """Configuration of a process with hollow balancers."""
 
     index: int
     balancers: list[int]
-    settings: dict[str, Any]  # version 0: what their configuration files hold
+    settings: dict[str, Any]  # version 0, the content of their configuration files
     addresses: AddressPlan
-    requests_per_s: float  # of each balancer; 0: none
+    requests_per_s: float  # at each balancer; 0: no requests
     seed: int
 
 
 class RealConfig(msgspec.Struct, frozen=True):
-    """Of the process that keeps the real balancers."""
+    """Configuration of the process that runs the real balancers as its children."""
 
     balancers: list[int]
     settings: dict[str, Any]  # version 0
@@ -80,12 +83,12 @@
 
 
 class TrafficConfig(msgspec.Struct, frozen=True):
-    """Of the process with photo servers, their discovery and the clients of the real balancers."""
+    """Configuration of the process with the photo servers, discovery and the clients of real balancers."""
 
     balancers: list[int]
     addresses: AddressPlan
     servers: int
-    requests_per_s: float  # to each balancer
+    requests_per_s: float  # at each balancer
     seed: int
 
 
@@ -93,33 +96,33 @@
 
 
 class Cut(msgspec.Struct, frozen=True, tag=True):
-    """To a machine: the machines that it can't reach from now on."""
+    """To a control machine: the machines from which it is cut off from now on; replaces the previous list."""
 
     machines: list[int]
 
 
 class Reach(msgspec.Struct, frozen=True, tag=True):
-    """To the agents: the machines that those of each region can reach from now on."""
+    """To the agents: the control machines that the agents of each region can reach from now on."""
 
     machines: list[list[int]]
 
 
 class Restart(msgspec.Struct, frozen=True, tag=True):
-    """To a process with hollow balancers: these are killed and start again."""
+    """To a process with balancers: these restart."""
 
     balancers: list[int]
 
 
 class Begin(msgspec.Struct, frozen=True, tag=True):
-    """To the traffic process: all balancers are ready, the clients may come."""
+    """To the traffic process: all balancers are ready, the clients start to send requests."""
 
 
 class Finish(msgspec.Struct, frozen=True, tag=True):
-    """Stop the traffic, report the totals."""
+    """Stop the traffic and report the totals."""
 
 
 class Measure(msgspec.Struct, frozen=True, tag=True):
-    """Report the totals so far and go on."""
+    """Report the totals so far and continue."""
 
 
 Command = Cut | Reach | Restart | Begin | Finish | Measure
@@ -129,21 +132,21 @@
 
 
 class Ready(msgspec.Struct, frozen=True, tag=True):
-    """The process listens."""
+    """The process is ready for commands and connections."""
 
     discovery_port: int = 0  # of the traffic process
 
 
 class InForce(msgspec.Struct, frozen=True, tag=True):
-    """A balancer has put a version into force."""
+    """A balancer has applied a version, which is now in force."""
 
     balancer: int
     version: int
-    at_ns: int  # on the monotonic clock of this machine
+    at_ns: int  # on the monotonic clock, which all processes of a machine share
 
 
 class Started(msgspec.Struct, frozen=True, tag=True):
-    """A balancer begins to serve, on this version."""
+    """A balancer starts to serve, with this version in force."""
 
     balancer: int
     version: int
@@ -151,7 +154,7 @@
 
 
 class TurnedDown(msgspec.Struct, frozen=True, tag=True):
-    """A balancer has turned a version down."""
+    """A balancer has rejected a version."""
 
     balancer: int
     version: int
@@ -167,22 +170,22 @@
 
 
 class AgentTotals(msgspec.Struct, frozen=True, tag=True):
-    """Bytes between all balancers and their agents."""
+    """Bytes transferred between all balancers and their agents."""
 
     to_agents: int
     to_balancers: int
 
 
 class RequestTotals(msgspec.Struct, frozen=True, tag=True):
-    """What became of all requests of one process."""
+    """Number of requests of one process, by result."""
 
     requests: int
     served: int
     refused: int
     failed: int
-    lost: int  # without a whole answer
-    repeated: int  # unsafe ones that reached servers twice
-    restarted: int = 0  # open at a balancer that was killed
+    lost: int  # no complete response
+    repeated: int  # second and later attempts of unsafe requests at servers
+    restarted: int = 0  # open at a balancer when it was killed
 
 
 Report = Ready | InForce | Started | TurnedDown | RequestFailed | AgentTotals | RequestTotals
