--- a/tests/emulator/test_control_plane.py
+++ b/tests/emulator/test_control_plane.py
@@ -395,7 +395,7 @@
         machine.waiting_publishers["x"].append(outcome)
         file = FailingFile(machine.log, monkeypatch)
         file.failing = {"write"}
-        ticking = asyncio.create_task(machine.tick())
+        ticking = asyncio.create_task(machine.run_ticks())
         accepted = Accepted(1, 4)
         machine.execute(ReplicaOutput(RECORDS[:1], [(1, accepted)], [Outcome("x", Verdict.ACCEPTED, 1)]))
         while machine.failed_write_count < 3:
