--- a/emulator/control/agents.py
+++ b/emulator/control/agents.py
@@ -1,7 +1,8 @@
-"""The agents on the balancers' machines, all in one process: `python -m emulator.control.agents`.
+"""The agents of all balancers in one process: `python -m emulator.control.agents`.
 
-Each pulls versions from the control machines that it can reach, each call at the next one of them, so that a
-machine that lags or is cut off delays a version by one hold at most. It outlives restarts of its balancer.
+Each agent polls the control machines that it can reach in turn, one long poll at each, so that a machine that
+lags behind or is cut off delays a version by at most one long poll. Agents keep running while their balancers
+restart.
 """
 
 from __future__ import annotations
@@ -28,95 +29,100 @@
 from emulator.control.history import SettingsHistory
 from emulator.control.http_server import HttpRequest, HttpResponse, HttpServer, query_int
 
-HOLD_MS = 1_000
-GRACE = 0.5  # seconds beyond the hold
-SEARCH_TIMEOUT = 0.2  # seconds for a call on behalf of a balancer that waits
-LEAST_PAUSE, MOST_PAUSE = 0.1, 0.4  # seconds after a call that failed
-SKIP = 0.02  # seconds from a machine out of reach to the next one
-MAX_DOCUMENT = 4 * 1024 * 1024  # bytes
+LONG_POLL_MS = 1_000
+LONG_POLL_GRACE_S = 0.5  # after the long poll; then a call without a response counts as failed
+FETCH_OLDER_TIMEOUT_S = 0.2  # of a call while the balancer waits for its response
+MIN_BACKOFF_S = 0.1  # after a failed call
+MAX_BACKOFF_S = 0.4
+SKIP_DELAY_S = 0.02  # between an unreachable machine and the next one
+MAX_DOCUMENT_BYTES = 4 * 1024 * 1024
 
 
 class UnreachableError(ConnectionError):
-    """The machine is beyond a split: nothing that was sent arrives."""
+    """The machine is on the other side of a network split: its response is discarded."""
 
 
 class SettingsAgent:
     """The agent of one balancer."""
 
-    def __init__(self, machines: int, addresses: AddressPlan, reach: list[int], seed: int) -> None:
+    def __init__(
+        self, machine_count: int, addresses: AddressPlan, reachable_machines: list[int], seed: int
+    ) -> None:
         loop = asyncio.get_running_loop()
-        self.reachable_machines = reach
+        self.reachable_machines = reachable_machines
         self.random = Random(seed)
         self.history = SettingsHistory()
-        self.callers: list[HttpClient] = []
-        for machine in map(addresses.machine_address, range(machines)):
-            self.callers.append(HttpClient(loop, (machine.host, machine.port), MAX_DOCUMENT))
-        self.turn = self.random.randrange(machines)
-        self.poll_task = loop.create_task(self._pull())
+        self.clients: list[HttpClient] = []
+        for machine in map(addresses.machine_address, range(machine_count)):
+            self.clients.append(HttpClient(loop, (machine.host, machine.port), MAX_DOCUMENT_BYTES))
+        self.current_machine = self.random.randrange(machine_count)
+        self.poll_task = loop.create_task(self._poll())
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """One call of the balancer."""
+        """Handle a request of the balancer."""
         if request.path != "/v1/settings":
             return HttpResponse(b"not found\n", 404)
         before = query_int(request, "before", 0)
         if before and before - 1 not in self.history.settings_by_version:
-            await self._search(before)
+            await self._fetch_older(before)
         return await self.history.respond(request)
 
-    async def _pull(self) -> None:
+    async def _poll(self) -> None:
         while True:
-            self.turn = (self.turn + 1) % len(self.callers)
-            machine = self.turn
+            self.current_machine = (self.current_machine + 1) % len(self.clients)
+            machine = self.current_machine
             if machine not in self.reachable_machines:
-                await asyncio.sleep(SKIP)
+                await asyncio.sleep(SKIP_DELAY_S)
                 continue
             try:
-                path = f"/v1/settings?from={self.history.newest_version}&hold_ms={HOLD_MS}"
-                await self._ask(self.callers[machine], machine, path, HOLD_MS / 1000 + GRACE)
+                path = f"/v1/settings?from={self.history.newest_version}&hold_ms={LONG_POLL_MS}"
+                await self._query(
+                    self.clients[machine], machine, path, LONG_POLL_MS / 1000 + LONG_POLL_GRACE_S
+                )
             except (OSError, TimeoutError, DocumentError):
-                self.callers[machine].close()
-                await asyncio.sleep(self.random.uniform(LEAST_PAUSE, MOST_PAUSE))
+                self.clients[machine].close()
+                await asyncio.sleep(self.random.uniform(MIN_BACKOFF_S, MAX_BACKOFF_S))
 
-    async def _search(self, version: int) -> None:
-        """Ask the machines for the newest version before this one, which this agent may never have had."""
+    async def _fetch_older(self, version: int) -> None:
+        """Request the newest version below this one, which this agent may never have received."""
         for machine in self.reachable_machines:
-            address = self.callers[machine].address
-            caller = HttpClient(asyncio.get_running_loop(), address, MAX_DOCUMENT)
+            address = self.clients[machine].address
+            client = HttpClient(asyncio.get_running_loop(), address, MAX_DOCUMENT_BYTES)
             try:
-                await self._ask(caller, machine, f"/v1/settings?before={version}", SEARCH_TIMEOUT)
+                await self._query(client, machine, f"/v1/settings?before={version}", FETCH_OLDER_TIMEOUT_S)
                 return
             except (OSError, TimeoutError, DocumentError):
                 continue
             finally:
-                caller.close()
+                client.close()
 
-    async def _ask(self, caller: HttpClient, machine: int, path: str, timeout: float) -> None:
-        answer = await caller.call(path, timeout)
+    async def _query(self, client: HttpClient, machine: int, path: str, timeout_s: float) -> None:
+        response = await client.call(path, timeout_s)
         if machine not in self.reachable_machines:
             raise UnreachableError
-        document: Document = parse_document(msgspec.json.decode(answer.body))
+        document: Document = parse_document(msgspec.json.decode(response.body))
         if document.settings is not None:
             self.history.add(document.version, msgspec.json.encode(document.settings).decode())
 
 
 async def main(config: AgentsConfig, commands: AsyncIterator[Command]) -> None:
-    """Serve all balancers until the commands end."""
-    everywhere = list(range(config.machines))
-    agents: list[list[SettingsAgent]] = []  # by region
+    """Run the agents of all balancers until the commands end."""
+    all_machines = list(range(config.machines))
+    agents_by_region: list[list[SettingsAgent]] = []
     servers: list[HttpServer] = []
     for balancers in config.regions:
-        agents.append([])
+        agents_by_region.append([])
         for balancer in balancers:
-            agent = SettingsAgent(config.machines, config.addresses, everywhere, config.seed + balancer)
+            agent = SettingsAgent(config.machines, config.addresses, all_machines, config.seed + balancer)
             address = config.addresses.agent_address(balancer)
             server = HttpServer(agent.handle)
             await server.listen(address.host, address.port)
-            agents[-1].append(agent)
+            agents_by_region[-1].append(agent)
             servers.append(server)
     send_report(Ready())
     async for command in commands:
         if isinstance(command, Reach):
-            for region, machines in zip(agents, command.machines, strict=True):
+            for region, machines in zip(agents_by_region, command.machines, strict=True):
                 for agent in region:
                     agent.reachable_machines = machines
         elif isinstance(command, Finish | Measure):
--- a/emulator/control/hollow.py
+++ b/emulator/control/hollow.py
@@ -1,7 +1,7 @@
 """Hollow balancers, many in one process: `python -m emulator.control.hollow`.
 
-Each has the real settings client and the real decision module, and a few requests at made-up servers that
-answer after a fixed time, so that a change finds requests in every state.
+Each runs the real settings client and the real decision module, and processes a few requests with simulated
+servers that respond after a fixed time, so that settings change while requests are in every state.
 """
 
 from __future__ import annotations
@@ -50,38 +50,38 @@
     TurnedDown,
 )
 
-SERVERS = 10
-SERVICE_TIME = 0.02  # seconds
+SERVER_COUNT = 10
+SERVICE_TIME_S = 0.02
 
 
-def parse(raw: dict[str, Any]) -> Settings:
-    """The settings with the names of their tenants, as a balancer reads them."""
-    numbers = {party["name"].encode(): n for n, party in enumerate(raw["parties"])}
-    return replace(parse_settings(raw), tenant_indexes=numbers)
+def parse_with_tenants(raw: dict[str, Any]) -> Settings:
+    """Parse settings together with the names of the tenants, as a real balancer does."""
+    indexes = {party["name"].encode(): n for n, party in enumerate(raw["parties"])}
+    return replace(parse_settings(raw), tenant_indexes=indexes)
 
 
-class ReportingControl(SettingsControl[Settings]):
-    """Reports what comes into force and what does not."""
+class ReportingSettingsControl(SettingsControl[Settings]):
+    """Reports each version that is applied or rejected."""
 
-    def __init__(self, balancer: int, base: dict[str, Any], seed: int) -> None:
-        super().__init__(base, 0, parse, seed)
-        self.balancer = balancer
+    def __init__(self, balancer_index: int, base: dict[str, Any], seed: int) -> None:
+        super().__init__(base, 0, parse_with_tenants, seed)
+        self.balancer_index = balancer_index
 
     def on_applied(self, version: int) -> None:
-        """Say so, with the time."""
+        """Record and report that this version is in force."""
         super().on_applied(version)
-        send_report(InForce(self.balancer, version, time.monotonic_ns()))
+        send_report(InForce(self.balancer_index, version, time.monotonic_ns()))
 
     def reject(self, version: int, reason: str) -> Reject:
-        """Say so, with the reason."""
+        """Record and report that this version is rejected."""
         reject = super().reject(version, reason)
-        send_report(TurnedDown(self.balancer, version, reject.reason))
+        send_report(TurnedDown(self.balancer_index, version, reject.reason))
         return reject
 
 
 @dataclass(slots=True)
 class Totals:
-    """Counts over all balancers of the process."""
+    """Numbers of requests over all balancers of the process."""
 
     requests: int = 0
     served: int = 0
@@ -93,135 +93,152 @@
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A request until its final answer and the ends of its attempts."""
+    """A request until it has its final answer and all its attempts have ended."""
 
-    unsafe: bool
-    arrived: int
-    servers: list[int] = field(default_factory=list)
-    ended: set[int] = field(default_factory=set)
-    sent: list[int] = field(default_factory=list)
-    final: bool = False
+    is_unsafe: bool
+    arrived_at_ns: int
+    server_ids: list[int] = field(default_factory=list)  # by attempt
+    ended_attempts: set[int] = field(default_factory=set)
+    sent_at_ns: list[int] = field(default_factory=list)  # by attempt
+    is_closed: bool = False  # it has its final answer
 
 
 class HollowBalancer:
-    """One life of a balancer: a restart makes a new one."""
+    """One incarnation of a balancer, from one start to the next."""
 
-    def __init__(self, number: int, config: HollowConfig, totals: Totals, life: int) -> None:
+    def __init__(self, balancer_index: int, config: HollowConfig, totals: Totals, incarnation: int) -> None:
         self.loop = asyncio.get_running_loop()
-        self.number = number
+        self.balancer_index = balancer_index
         self.config = config
         self.totals = totals
-        seed = config.seed + 1000 * life + number
+        seed = config.seed + 1000 * incarnation + balancer_index
         self.random = Random(seed)
-        base = {**config.settings, "az": 0, "me": number}
-        self.module = Balancer(parse(base), seed)
-        address = config.addresses.agent_address(number)
-        control = ReportingControl(number, base, seed)
-        self.watch = SettingsWatch(self.loop, (address.host, address.port), control, self._put_in_force)
-        self.open: dict[str, OpenRequest] = {}
-        self.count = 0
-        self.alive = True
-        self.task = self.loop.create_task(self._live())
+        base = {**config.settings, "az": 0, "me": balancer_index}
+        self.decision_module = Balancer(parse_with_tenants(base), seed)
+        address = config.addresses.agent_address(balancer_index)
+        control = ReportingSettingsControl(balancer_index, base, seed)
+        self.settings_watch = SettingsWatch(
+            self.loop, (address.host, address.port), control, self._apply_settings
+        )
+        self.open_requests: dict[str, OpenRequest] = {}
+        self.request_count = 0
+        self.is_alive = True
+        self.task = self.loop.create_task(self._run())
 
     def kill(self) -> None:
-        """End at once; what is open is the clients' to try again."""
-        self.alive = False
+        """End this incarnation at once.
+
+        Its open requests count as `restarted`, not as lost: their clients would repeat them.
+        """
+        self.is_alive = False
         self.task.cancel()
-        self.watch.close()
-        self.totals.restarted += sum(not request.final for request in self.open.values())
+        self.settings_watch.close()
+        self.totals.restarted += sum(not request.is_closed for request in self.open_requests.values())
 
-    def _put_in_force(self, settings: Settings) -> bool:
-        self._do(self.module.on_settings(time.monotonic_ns(), settings))
+    def _apply_settings(self, settings: Settings) -> bool:
+        self._execute(self.decision_module.on_settings(time.monotonic_ns(), settings))
         return True
 
-    async def _live(self) -> None:
+    async def _run(self) -> None:
         now = time.monotonic_ns()
-        self._do(self.module.on_start(now))
+        self._execute(self.decision_module.on_start(now))
         entries = [
             ServerEntry(id=n, zone=0, cell=0, kind=0, state=ServerState.READY, weight=1.0, started_at=0)
-            for n in range(SERVERS)
+            for n in range(SERVER_COUNT)
         ]
-        self._do(self.module.on_list(now, ServerListUpdate(ListKind.FULL, tuple(entries))))
-        await self.watch.wait_until_up_to_date()
-        send_report(Started(self.number, self.watch.control.version, time.monotonic_ns()))
+        self._execute(self.decision_module.on_list(now, ServerListUpdate(ListKind.FULL, tuple(entries))))
+        await self.settings_watch.wait_until_up_to_date()
+        send_report(Started(self.balancer_index, self.settings_watch.control.version, time.monotonic_ns()))
         while self.config.requests_per_s:
             await asyncio.sleep(self.random.uniform(0.5, 1.5) / self.config.requests_per_s)
             self._submit()
 
     def stop(self) -> None:
-        """No further requests."""
+        """Stop sending requests."""
         self.task.cancel()
 
     def _submit(self) -> None:
-        self.count += 1
+        self.request_count += 1
         self.totals.requests += 1
-        classes = self.module.settings.classes
-        number = self.random.randrange(len(classes))
-        name, now = f"{self.number}/{self.count}", time.monotonic_ns()
-        self.open[name] = OpenRequest(classes[number].idempotency is Idempotency.UNSAFE, now)
-        tenant = self.random.randrange(len(self.module.settings.tenant_quotas_per_s) + 1)
-        request = Request(name, number, now + classes[number].client_timeout, tenant_index=tenant)
-        self._do(self.module.on_request(now, request))
-
-    def _do(self, actions: list[Action]) -> None:
+        classes = self.decision_module.settings.classes
+        class_index = self.random.randrange(len(classes))
+        request_id, now = f"{self.balancer_index}/{self.request_count}", time.monotonic_ns()
+        self.open_requests[request_id] = OpenRequest(
+            classes[class_index].idempotency is Idempotency.UNSAFE, now
+        )
+        tenant_index = self.random.randrange(len(self.decision_module.settings.tenant_quotas_per_s) + 1)
+        request = Request(
+            request_id, class_index, now + classes[class_index].client_timeout, tenant_index=tenant_index
+        )
+        self._execute(self.decision_module.on_request(now, request))
+
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
                 self._send(action)
             elif isinstance(action, SetTimer):
-                wait = (action.fire_at - time.monotonic_ns()) / 1e9
-                self.loop.call_later(max(0.0, wait), self._timer, action.token)
+                delay_s = (action.fire_at - time.monotonic_ns()) / 1e9
+                self.loop.call_later(max(0.0, delay_s), self._on_timer, action.token)
             elif isinstance(action, Cancel):
-                self.loop.call_soon(self._end, action.request_id, action.attempt_index, Outcome.CANCELLED)
+                self.loop.call_soon(
+                    self._end_attempt, action.request_id, action.attempt_index, Outcome.CANCELLED
+                )
             elif isinstance(action, Refuse):
                 self.totals.refused += 1
                 self._report_failed(action.request_id, "refused")
-                self._finish(action.request_id)
+                self._close_request(action.request_id)
             elif isinstance(action, Fail):
                 self.totals.failed += 1
                 self._report_failed(action.request_id, "failed")
-                self._finish(action.request_id)
+                self._close_request(action.request_id)
 
-    def _report_failed(self, name: str, what: str) -> None:
-        """With the reasons for which the module has given requests up lately."""
-        request = self.open[name]
-        reasons = " ".join(f"{reason}:{n}" for reason, n in self.module.give_up_counts.items())
-        after_ms = (time.monotonic_ns() - request.arrived) / 1e6
-        send_report(RequestFailed(self.number, f"{what}, {reasons}", after_ms))
+    def _report_failed(self, request_id: str, what: str) -> None:
+        """Report the request with the decision module's counts of reasons for giving requests up."""
+        request = self.open_requests[request_id]
+        give_up_counts = " ".join(
+            f"{reason}:{n}" for reason, n in self.decision_module.give_up_counts.items()
+        )
+        after_ms = (time.monotonic_ns() - request.arrived_at_ns) / 1e6
+        send_report(RequestFailed(self.balancer_index, f"{what}, {give_up_counts}", after_ms))
 
-    def _timer(self, token: str) -> None:
-        if self.alive:
-            self._do(self.module.on_timer(time.monotonic_ns(), token))
+    def _on_timer(self, token: str) -> None:
+        if self.is_alive:
+            self._execute(self.decision_module.on_timer(time.monotonic_ns(), token))
 
     def _send(self, action: Send) -> None:
-        request = self.open[action.request_id]
-        self.totals.repeated += request.unsafe and bool(request.servers)
-        attempt = len(request.servers)
-        request.servers.append(action.server_id)
-        request.sent.append(time.monotonic_ns())
-        self.loop.call_later(SERVICE_TIME, self._end, action.request_id, attempt, Outcome.OK)
-
-    def _end(self, name: str, attempt: int, outcome: Outcome) -> None:
-        request = self.open.get(name)
-        if not self.alive or request is None or attempt in request.ended:
+        request = self.open_requests[action.request_id]
+        self.totals.repeated += request.is_unsafe and bool(request.server_ids)
+        attempt_index = len(request.server_ids)
+        request.server_ids.append(action.server_id)
+        request.sent_at_ns.append(time.monotonic_ns())
+        self.loop.call_later(SERVICE_TIME_S, self._end_attempt, action.request_id, attempt_index, Outcome.OK)
+
+    def _end_attempt(self, request_id: str, attempt_index: int, outcome: Outcome) -> None:
+        request = self.open_requests.get(request_id)
+        if not self.is_alive or request is None or attempt_index in request.ended_attempts:
             return
-        request.ended.add(attempt)
-        if outcome is Outcome.OK and not request.final:
+        request.ended_attempts.add(attempt_index)
+        if outcome is Outcome.OK and not request.is_closed:
             self.totals.served += 1
-            request.final = True
+            request.is_closed = True
         now = time.monotonic_ns()
-        server, latency = request.servers[attempt], now - request.sent[attempt]
-        end = AttemptEnd(name, attempt, server, outcome, latency, request.final)
-        self._do(self.module.on_attempt_end(now, end))
-        self._forget(name)
+        server_id, latency = request.server_ids[attempt_index], now - request.sent_at_ns[attempt_index]
+        attempt_end = AttemptEnd(request_id, attempt_index, server_id, outcome, latency, request.is_closed)
+        self._execute(self.decision_module.on_attempt_end(now, attempt_end))
+        self._remove_if_done(request_id)
 
-    def _finish(self, name: str) -> None:
-        self.open[name].final = True
-        self._forget(name)
+    def _close_request(self, request_id: str) -> None:
+        self.open_requests[request_id].is_closed = True
+        self._remove_if_done(request_id)
 
-    def _forget(self, name: str) -> None:
-        request = self.open.get(name)
-        if request is not None and request.final and len(request.ended) == len(request.servers):
-            del self.open[name]
+    def _remove_if_done(self, request_id: str) -> None:
+        request = self.open_requests.get(request_id)
+        if (
+            request is not None
+            and request.is_closed
+            and len(request.ended_attempts) == len(request.server_ids)
+        ):
+            del self.open_requests[request_id]
 
 
 class HollowProcess:
@@ -230,40 +247,49 @@
     def __init__(self, config: HollowConfig) -> None:
         self.config = config
         self.totals = Totals()
-        self.lives = 0
+        self.latest_incarnation = 0
         self.balancers = {n: HollowBalancer(n, config, self.totals, 0) for n in config.balancers}
 
-    def restart(self, numbers: list[int]) -> None:
-        """Kill these and start them again."""
-        self.lives += 1
-        for number in numbers:
-            self.balancers[number].kill()
-            self.balancers[number] = HollowBalancer(number, self.config, self.totals, self.lives)
+    def restart(self, balancer_indexes: list[int]) -> None:
+        """Kill these balancers and start them again."""
+        self.latest_incarnation += 1
+        for index in balancer_indexes:
+            self.balancers[index].kill()
+            self.balancers[index] = HollowBalancer(index, self.config, self.totals, self.latest_incarnation)
 
     def request_totals(self) -> RequestTotals:
-        """The counts so far; what has no answer is lost."""
-        open_requests = sum(not r.final for b in self.balancers.values() for r in b.open.values())
-        t = self.totals
+        """Return the totals so far; requests without a final answer count as lost."""
+        open_request_count = sum(
+            not r.is_closed for b in self.balancers.values() for r in b.open_requests.values()
+        )
+        totals = self.totals
         return RequestTotals(
-            t.requests, t.served, t.refused, t.failed, open_requests, t.repeated, t.restarted
+            totals.requests,
+            totals.served,
+            totals.refused,
+            totals.failed,
+            open_request_count,
+            totals.repeated,
+            totals.restarted,
         )
 
     async def finish(self) -> None:
-        """Let all open requests come to their end."""
+        """Stop new requests; report the totals when none is open, or after the longest client timeout."""
         for balancer in self.balancers.values():
             balancer.stop()
-        longest = max(
-            (c.client_timeout for b in self.balancers.values() for c in b.module.settings.classes), default=0
+        longest_client_timeout = max(
+            (c.client_timeout for b in self.balancers.values() for c in b.decision_module.settings.classes),
+            default=0,
         )
-        until = asyncio.get_running_loop().time() + longest / 1e9
-        while asyncio.get_running_loop().time() < until and self.request_totals().lost:
+        end_time = asyncio.get_running_loop().time() + longest_client_timeout / 1e9
+        while asyncio.get_running_loop().time() < end_time and self.request_totals().lost:
             await asyncio.sleep(0.05)
         send_report(self.request_totals())
 
 
 async def main(config: HollowConfig, commands: AsyncIterator[Command]) -> None:
     """Run all balancers until the commands end."""
-    logging.disable(logging.ERROR)  # what would be logged is reported
+    logging.disable(logging.ERROR)  # reports contain what would be logged
     process = HollowProcess(config)
     send_report(Ready())
     async for command in commands:
