--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -34,8 +34,8 @@
     @rule(pick=st.integers(0, 1000), outcome=OUTCOMES, report=REPORTS)
     def end(self, pick: int, outcome: Outcome, report: LoadReport | None) -> None:
         out = self.harness.attempts_in_flight()
-        rid, n = out[pick % len(out)]
-        self.harness.end_attempt(rid, n, outcome, report)
+        request_id, n = out[pick % len(out)]
+        self.harness.end_attempt(request_id, n, outcome, report)
 
     @precondition(lambda self: self.harness.requests)
     @rule(pick=st.integers(0, 1000))
--- a/tests/test_regressions.py
+++ b/tests/test_regressions.py
@@ -20,9 +20,9 @@
 def warm_up(harness: BalancerHarness, rounds: int = 60, class_index: int = 0, cost_hint: int = 0) -> None:
     """Every attempt answered quickly: the usual latency and the servers' rooms settle."""
     for _ in range(rounds):
-        rid = harness.submit(class_index, cost_hint=cost_hint)
+        request_id = harness.submit(class_index, cost_hint=cost_hint)
         harness.advance(30 * MS)
-        harness.end_all_attempts(rid)
+        harness.end_all_attempts(request_id)
 
 
 def test_silent_fleet_is_not_filled_without_bound() -> None:
@@ -43,12 +43,12 @@
     warm_up(harness)
     bad, total = 0, 200
     for n in range(300):
-        rid = harness.submit(2)
+        request_id = harness.submit(2)
         harness.advance(2 * MS)
-        server = harness.requests[rid].server_ids[0]
+        server = harness.requests[request_id].server_ids[0]
         bad += server == 0 and n >= 100
-        harness.end_attempt(rid, 0, Outcome.ERROR if server == 0 else Outcome.OK)
-        harness.end_all_attempts(rid)
+        harness.end_attempt(request_id, 0, Outcome.ERROR if server == 0 else Outcome.OK)
+        harness.end_all_attempts(request_id)
     assert bad < total / 12, f"{bad} of {total} went to the failing one of six servers"
     harness.finish_all_requests()
 
@@ -59,13 +59,13 @@
     warm_up(harness)
     hung = 0
     for n in range(400):
-        rid = harness.submit(2)
+        request_id = harness.submit(2)
         harness.advance(10 * MS)
-        for attempt, server in enumerate(harness.requests[rid].server_ids):
+        for attempt, server in enumerate(harness.requests[request_id].server_ids):
             if server == 0:
                 hung += n >= 100
-            elif harness.requests[rid].outcomes[attempt] is None:
-                harness.end_attempt(rid, attempt, Outcome.OK)
+            elif harness.requests[request_id].outcomes[attempt] is None:
+                harness.end_attempt(request_id, attempt, Outcome.OK)
     assert hung <= 6, f"{hung} of 300 unsafe requests went to the hung one of six servers"
     harness.finish_all_requests()
 
@@ -74,13 +74,13 @@
     """Stalls of 140 to 230 ms on every server made all that they held late."""
     harness = harness_with_servers()
     warm_up(harness)
-    rid = harness.submit(0)
-    before = len(harness.requests[rid].server_ids)
+    request_id = harness.submit(0)
+    before = len(harness.requests[request_id].server_ids)
     harness.advance(85 * MS)
-    assert len(harness.requests[rid].server_ids) > before
-    late = len(harness.requests[rid].server_ids) - 1
-    harness.end_attempt(rid, late, Outcome.OK)
-    assert harness.requests[rid].final_answer == "OK"
+    assert len(harness.requests[request_id].server_ids) > before
+    late = len(harness.requests[request_id].server_ids) - 1
+    harness.end_attempt(request_id, late, Outcome.OK)
+    assert harness.requests[request_id].final_answer == "OK"
     harness.finish_all_requests()
 
 
@@ -88,14 +88,14 @@
     """Incident i407c1f: many balancers, each with nothing out, copied into a fleet that was full."""
     harness = harness_with_servers()
     for _ in range(60):
-        rid = harness.submit(0)
+        request_id = harness.submit(0)
         harness.advance(95 * MS)
-        for n, end in enumerate(harness.requests[rid].outcomes):
+        for n, end in enumerate(harness.requests[request_id].outcomes):
             if end is None:
-                slow = harness.requests[rid].sent_at[n] == harness.now - 95 * MS
-                harness.end_attempt(rid, n, Outcome.OK if slow else Outcome.CANCELLED)
-    rid = harness.submit(0)
-    assert len(harness.requests[rid].server_ids) == 1
+                slow = harness.requests[request_id].sent_at[n] == harness.now - 95 * MS
+                harness.end_attempt(request_id, n, Outcome.OK if slow else Outcome.CANCELLED)
+    request_id = harness.submit(0)
+    assert len(harness.requests[request_id].server_ids) == 1
     harness.finish_all_requests()
 
 
@@ -121,8 +121,8 @@
         for _ in range(3):
             harness.submit(class_index)
         harness.advance(20 * MS)
-        for rid, n in harness.attempts_in_flight():
-            harness.end_attempt(rid, n, Outcome.OK)
+        for request_id, n in harness.attempts_in_flight():
+            harness.end_attempt(request_id, n, Outcome.OK)
 
 
 def trusted(balancers: int) -> float:
@@ -130,8 +130,8 @@
     for _ in range(60):
         rids = [harness.submit(2) for _ in range(12)]
         harness.advance(10 * MS)
-        for rid in rids:
-            harness.end_all_attempts(rid)
+        for request_id in rids:
+            harness.end_all_attempts(request_id)
     rooms = [s.in_flight_limit for s in harness.balancer.servers.values()]
     harness.finish_all_requests()
     return sum(rooms) / len(rooms)
@@ -151,11 +151,11 @@
     for _ in range(60):
         rids = [harness.submit(2) for _ in range(8)]
         harness.advance(10 * MS)
-        for rid in rids:
-            for n, end in enumerate(harness.requests[rid].outcomes):
+        for request_id in rids:
+            for n, end in enumerate(harness.requests[request_id].outcomes):
                 if end is None:
-                    server = harness.requests[rid].server_ids[n]
-                    harness.end_attempt(rid, n, Outcome.OK, busy if server == 0 else None)
+                    server = harness.requests[request_id].server_ids[n]
+                    harness.end_attempt(request_id, n, Outcome.OK, busy if server == 0 else None)
     servers = harness.balancer.servers
     assert servers[0].in_flight_limit < servers[1].in_flight_limit / 2
     harness.finish_all_requests()
@@ -168,8 +168,8 @@
     finals: dict[int, list[str]] = {2: [], 3: []}
     for turn in range(1200):
         klass = 2 + turn % 2
-        rid = harness.submit(klass)
-        finals[klass].append(rid)
+        request_id = harness.submit(klass)
+        finals[klass].append(request_id)
         harness.advance(8 * MS)
         if turn % 4 == 0 and harness.attempts_in_flight():
             harness.end_attempt(*harness.attempts_in_flight()[0], Outcome.OK)
@@ -196,8 +196,8 @@
     for _ in range(600):
         rids.append(harness.submit(3))
         harness.advance(8 * MS)
-        for rid, n in harness.attempts_in_flight():
-            harness.end_attempt(rid, n, Outcome.OK)
+        for request_id, n in harness.attempts_in_flight():
+            harness.end_attempt(request_id, n, Outcome.OK)
     assert served(harness, rids[-100:]) > 90
     harness.finish_all_requests()
 
@@ -216,9 +216,9 @@
     """A restarted balancer stuck to the few servers it had heard first: the others never read idle."""
     harness = harness_with_servers(8)
     for _ in range(80):
-        rid = harness.submit(2)
+        request_id = harness.submit(2)
         harness.advance(10 * MS)
-        harness.end_all_attempts(rid)
+        harness.end_all_attempts(request_id)
     assert all(s.has_answered for s in harness.balancer.servers.values())
     harness.finish_all_requests()
 
@@ -227,17 +227,17 @@
     """Incident iaeca7e: 138 balancers each connected to every server until its table was full."""
     harness = harness_with_servers(60)
     for _ in range(300):
-        rid = harness.submit(2)
+        request_id = harness.submit(2)
         harness.advance(150 * MS)
-        harness.end_all_attempts(rid)
+        harness.end_all_attempts(request_id)
     met = {n for s in harness.requests.values() for n in s.server_ids}
     assert len(met) < 20
     refusing = next(iter(met))
     for _ in range(200):
-        rid = harness.submit(2)
+        request_id = harness.submit(2)
         harness.advance(150 * MS)
-        bad = refusing in harness.requests[rid].server_ids
-        harness.end_all_attempts(rid, Outcome.CONNECT_FAILED if bad else Outcome.OK)
+        bad = refusing in harness.requests[request_id].server_ids
+        harness.end_all_attempts(request_id, Outcome.CONNECT_FAILED if bad else Outcome.OK)
     tries = [s.server_ids for s in list(harness.requests.values())[-150:]]
     assert sum(refusing in t for t in tries) <= 5, "left to others, but for a try when its rest is over"
     harness.finish_all_requests()
@@ -260,9 +260,9 @@
     for started, grows in ((0, False), (1, True)):
         harness = harness_with_servers(2)
         for _ in range(20):  # the least latency is 50 ms
-            rid = harness.submit(2)
+            request_id = harness.submit(2)
             harness.advance(50 * MS)
-            harness.end_all_attempts(rid)
+            harness.end_all_attempts(request_id)
         harness.update_server_list(ListKind.DELTA, server_entry(2, started_at=started and harness.now))
         harness.balancer.overload_level = 1.0
         harness.advance(400 * MS)  # the sweep sees the crowd
@@ -272,8 +272,8 @@
             for _ in range(6):
                 harness.submit(2)
             harness.advance(120 * MS)  # 2.4 times it: quick enough without a crowd
-            for rid, n in harness.attempts_in_flight():
-                harness.end_attempt(rid, n, Outcome.OK)
+            for request_id, n in harness.attempts_in_flight():
+                harness.end_attempt(request_id, n, Outcome.OK)
         assert (harness.balancer.servers[0].in_flight_limit > before) is grows
         harness.finish_all_requests()
 
@@ -282,9 +282,9 @@
     """Incident i3ee00a: at hundreds of balancers no single server's room stopped a burst in time."""
     harness = harness_with_servers(60, balancer_count=400)
     for _ in range(60):  # all answers late, each server met once or twice
-        rid = harness.submit(2)
+        request_id = harness.submit(2)
         harness.advance(300 * MS)
-        harness.end_all_attempts(rid)
+        harness.end_all_attempts(request_id)
     assert harness.balancer.admission_share < 0.5
     harness.update_server_list(
         ListKind.FULL, *(server_entry(n) for n in range(100, 160))
@@ -294,9 +294,9 @@
     assert refused >= 5, "each of the pool would take one"
     harness.finish_all_requests()
     for _ in range(300):
-        rid = harness.submit(2)
+        request_id = harness.submit(2)
         harness.advance(40 * MS)
-        harness.end_all_attempts(rid)
+        harness.end_all_attempts(request_id)
     assert harness.balancer.admission_share == 1.0, "quick answers open it again"
 
 
@@ -306,11 +306,11 @@
     for utilization in (0.2, 0.95):
         harness = harness_with_servers(2)
         for _ in range(30):
-            rid = harness.submit(2)
+            request_id = harness.submit(2)
             harness.advance(320 * MS)
-            for n, end in enumerate(harness.requests[rid].outcomes):
+            for n, end in enumerate(harness.requests[request_id].outcomes):
                 if end is None:
-                    harness.end_attempt(rid, n, Outcome.OK, LoadReport(utilization=utilization))
+                    harness.end_attempt(request_id, n, Outcome.OK, LoadReport(utilization=utilization))
         rooms.append(sum(s.in_flight_limit for s in harness.balancer.servers.values()))
         harness.finish_all_requests()
     assert rooms[0] > 2 * rooms[1]
@@ -324,9 +324,9 @@
     for _ in range(120):
         harness.submit(2)
         harness.advance(20 * MS)
-        for rid, n in harness.attempts_in_flight():
-            if harness.now - harness.requests[rid].sent_at[n] >= 40 * MS:
-                harness.end_attempt(rid, n, Outcome.OK)
+        for request_id, n in harness.attempts_in_flight():
+            if harness.now - harness.requests[request_id].sent_at[n] >= 40 * MS:
+                harness.end_attempt(request_id, n, Outcome.OK)
     assert server.in_flight_limit > 10 * before
     harness.finish_all_requests()
 
@@ -369,12 +369,12 @@
     def tries(rounds: int, cut: bool) -> int:
         before = sum(len(gone.intersection(s.server_ids)) for s in harness.requests.values())
         for _ in range(rounds):
-            rid = harness.submit(2)
+            request_id = harness.submit(2)
             harness.advance(20 * MS)
-            for n, end in enumerate(harness.requests[rid].outcomes):
-                bad = cut and harness.requests[rid].server_ids[n] in gone
+            for n, end in enumerate(harness.requests[request_id].outcomes):
+                bad = cut and harness.requests[request_id].server_ids[n] in gone
                 if end is None:
-                    harness.end_attempt(rid, n, Outcome.CONNECT_FAILED if bad else Outcome.OK)
+                    harness.end_attempt(request_id, n, Outcome.CONNECT_FAILED if bad else Outcome.OK)
         return sum(len(gone.intersection(s.server_ids)) for s in harness.requests.values()) - before
 
     first, later = tries(100, cut=True), tries(100, cut=True)
@@ -394,8 +394,8 @@
             for _ in range(at_once):
                 harness.submit(2)
             harness.advance(20 * MS)
-            for rid, n in harness.attempts_in_flight():
-                harness.end_attempt(rid, n, Outcome.OK)
+            for request_id, n in harness.attempts_in_flight():
+                harness.end_attempt(request_id, n, Outcome.OK)
             harness.advance(80 * MS)
         assert (harness.balancer.servers[0].in_flight_limit > before) is grows, at_once
         harness.finish_all_requests()
@@ -409,9 +409,9 @@
         warm_up(harness, class_index=2)
         server = harness.balancer.servers[0]
         server.in_flight_limit = before = 0.4
-        rid = harness.submit(2)
+        request_id = harness.submit(2)
         harness.advance(latency * MS)
-        harness.end_all_attempts(rid)
+        harness.end_all_attempts(request_id)
         rested.append(server.backoff_until > harness.now)
         assert (server.in_flight_limit > before) is (latency == 20)
         harness.finish_all_requests()
@@ -445,15 +445,15 @@
     hung = {2: 0, 0: 0}
     for n in range(400):
         klass = 0 if n % 2 else 2
-        rid = harness.submit(klass)
+        request_id = harness.submit(klass)
         harness.advance(10 * MS)
-        for attempt, server in enumerate(harness.requests[rid].server_ids):
+        for attempt, server in enumerate(harness.requests[request_id].server_ids):
             if klass == 2 and server < 4:
                 hung[2] += n >= 200  # it gets no answer
             else:
                 hung[0] += n >= 200 and server < 4
-                if harness.requests[rid].outcomes[attempt] is None:
-                    harness.end_attempt(rid, attempt, Outcome.OK)
+                if harness.requests[request_id].outcomes[attempt] is None:
+                    harness.end_attempt(request_id, attempt, Outcome.OK)
     assert hung[2] <= 15, f"{hung[2]} of 100 went to where they hang"
     assert hung[0] >= 5, "the class that is answered there keeps away as well"
     harness.finish_all_requests()
@@ -463,11 +463,11 @@
     harness = harness_with_servers(1)
     warm_up(harness, 40, 2)
     for _ in range(20):
-        rid = harness.submit(2)
+        request_id = harness.submit(2)
         harness.advance(10 * MS)
-        for attempt, end in enumerate(harness.requests[rid].outcomes):
+        for attempt, end in enumerate(harness.requests[request_id].outcomes):
             if end is None:
-                harness.end_attempt(rid, attempt, Outcome.ERROR)
+                harness.end_attempt(request_id, attempt, Outcome.ERROR)
     harness.advance(20_000 * MS)
     warm_up(harness, 20, 2)
     assert [s.final_answer for s in harness.requests.values()][-5:] == ["OK"] * 5
@@ -479,12 +479,12 @@
     harness = harness_with_servers(6, 3)
 
     def play(patience: int | None) -> list[int]:
-        rid = harness.submit(2, patience)
-        servers = harness.requests[rid].server_ids
+        request_id = harness.submit(2, patience)
+        servers = harness.requests[request_id].server_ids
         slow = servers[0] >= 3
         harness.advance(min(20 + 60 * slow, 1000) * MS)
-        if harness.requests[rid].outcomes[0] is None:
-            harness.end_attempt(rid, 0, Outcome.OK)
+        if harness.requests[request_id].outcomes[0] is None:
+            harness.end_attempt(request_id, 0, Outcome.OK)
         return servers
 
     for _ in range(200):
@@ -502,14 +502,18 @@
     """Crossing rooms has a price: two of three attempts paid it while near servers had cores free."""
     harness = harness_with_servers(8, balancer_count=1)  # four of them in this room
     for _ in range(80):
-        rid = harness.submit(2)
+        request_id = harness.submit(2)
         harness.advance(latency * MS)
-        harness.end_all_attempts(rid)
+        harness.end_all_attempts(request_id)
     rids = [harness.submit(2) for _ in range(12)]
-    near = sum(harness.listed_entries[n].zone == 0 for rid in rids for n in harness.requests[rid].server_ids)
+    near = sum(
+        harness.listed_entries[n].zone == 0
+        for request_id in rids
+        for n in harness.requests[request_id].server_ids
+    )
     assert least <= near <= most, f"{near} of 12 at once stayed in their room"
-    for rid in rids:
-        harness.end_all_attempts(rid)
+    for request_id in rids:
+        harness.end_all_attempts(request_id)
     harness.finish_all_requests()
 
 
@@ -518,9 +522,9 @@
     patient = replace(CLASSES[0], late_worth_share=0.2)  # worth an answer also after its aim
     harness = harness_with_servers(6, balancer_count=1, classes=(patient,))
     for _ in range(80):  # slow enough that only an empty server counts as idle
-        rid = harness.submit(0)
+        request_id = harness.submit(0)
         harness.advance(80 * MS)
-        harness.end_all_attempts(rid)
+        harness.end_all_attempts(request_id)
     for server in harness.balancer.servers.values():
         server.in_flight += 1  # each is always at work on something
     lost = harness.submit(0)
@@ -572,13 +576,13 @@
 def test_what_a_server_works_on_is_not_called_off_at_the_aim() -> None:
     """Score days 2 and big-1: the client came back, and the same long work was begun again from its start."""
     harness = harness_with_servers(1)
-    rid = harness.submit(0)
+    request_id = harness.submit(0)
     (send,) = (a for a in harness.actions if isinstance(a, Send))
     assert send.timeout == 0
     harness.advance(CLASSES[0].latency_target + 100 * MS)
     assert not any(isinstance(a, Cancel) for a in harness.actions)
-    harness.end_attempt(rid, 0, Outcome.OK)
-    assert harness.requests[rid].final_answer == "OK"
+    harness.end_attempt(request_id, 0, Outcome.OK)
+    assert harness.requests[request_id].final_answer == "OK"
     harness.finish_all_requests()
 
 
@@ -589,9 +593,9 @@
         harness.submit(0)
     held = len(harness.attempts_in_flight())
     harness.advance(300 * MS)
-    for rid in [rid for rid, _ in harness.attempts_in_flight()]:
-        harness.disconnect_client(rid)
-        harness.end_all_attempts(rid, Outcome.CANCELLED)
+    for request_id in [request_id for request_id, _ in harness.attempts_in_flight()]:
+        harness.disconnect_client(request_id)
+        harness.end_all_attempts(request_id, Outcome.CANCELLED)
     server = harness.balancer.servers[0]
     server.in_flight_limit, server.backoff_until = held, 0
     assert harness.requests[harness.submit(3)].server_ids == [], "filled a server that may still be full"
@@ -607,9 +611,9 @@
         for n in range(int(20 * S / between)):
             if n == int(5 * S / between):
                 harness.balancer.overload_level = 1.0  # as a jam leaves it
-            rid = harness.submit(0)
+            request_id = harness.submit(0)
             harness.advance(min(between, 30 * MS))
-            harness.end_all_attempts(rid)
+            harness.end_all_attempts(request_id)
             harness.advance(max(0, between - 30 * MS))
         assert harness.balancer.overload_level == 0.0, f"{between / MS} ms between requests"
         harness.finish_all_requests()
