--- a/emulator/control/contract.py
+++ b/emulator/control/contract.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from emulator.fleet.contract import Address, loopback
+from emulator.fleet.contract import Address, loopback_address
 
 # Second bytes of the loopback addresses.
 MACHINE_ADDRESS_BLOCK = 67
@@ -27,15 +27,15 @@
 
     def machine_address(self, index: int) -> Address:
         """Return the address on which this control machine listens."""
-        return loopback(MACHINE_ADDRESS_BLOCK, index, self.machine_port)
+        return loopback_address(MACHINE_ADDRESS_BLOCK, index, self.machine_port)
 
     def agent_address(self, balancer: int) -> Address:
         """Return the address on which the agent of this balancer listens."""
-        return loopback(AGENT_ADDRESS_BLOCK, balancer, self.agent_port)
+        return loopback_address(AGENT_ADDRESS_BLOCK, balancer, self.agent_port)
 
     def balancer_address(self, index: int) -> Address:
         """Return the address on which this real balancer listens."""
-        return loopback(BALANCER_ADDRESS_BLOCK, index, self.balancer_port)
+        return loopback_address(BALANCER_ADDRESS_BLOCK, index, self.balancer_port)
 
 
 # ---- configurations ----
--- a/emulator/fleet/client_model.py
+++ b/emulator/fleet/client_model.py
@@ -14,21 +14,21 @@
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
-LEAST_WORK_US = 50
-MOST_LAG_NS = 250_000_000  # a first try that is this late is not made: the machine does not carry it
+MIN_WORK_US = 50
+MAX_ARRIVAL_LAG_NS = 250_000_000  # a first try that is this late is not made: the machine does not carry it
 
 
-class TryEnd(StrEnum):
+class TryOutcome(StrEnum):
     """How one try ended for its client."""
 
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
-    BROKEN = "broken"  # the balancer died or could not be reached
+    CONNECTION_FAILED = "broken"  # the balancer died or could not be reached
     NO_ANSWER = "no_answer"
 
 
-class RequestEnd(StrEnum):
+class RequestOutcome(StrEnum):
     """How a request ended over all its tries."""
 
     IN_TIME = "in_time"
@@ -36,14 +36,14 @@
     REFUSED = "refused"
     FAILED = "failed"
     NO_ANSWER = "no_answer"
-    LEFT = "left"  # the client went away
+    CLIENT_GONE = "left"  # the client went away
 
 
 _ENDS_WITHOUT_ANSWER = {
-    TryEnd.REFUSED: RequestEnd.REFUSED,
-    TryEnd.FAILED: RequestEnd.FAILED,
-    TryEnd.BROKEN: RequestEnd.FAILED,
-    TryEnd.NO_ANSWER: RequestEnd.NO_ANSWER,
+    TryOutcome.REFUSED: RequestOutcome.REFUSED,
+    TryOutcome.FAILED: RequestOutcome.FAILED,
+    TryOutcome.CONNECTION_FAILED: RequestOutcome.FAILED,
+    TryOutcome.NO_ANSWER: RequestOutcome.NO_ANSWER,
 }
 
 
@@ -53,12 +53,12 @@
 
     number: int
     balancer: int  # that its first try goes to
-    class_number: int
-    tenant: int
+    class_index: int
+    tenant_index: int
     work_us: int
-    began: int
+    started_at: int
     honours_retry_after: bool
-    leaves_after_ns: int  # of its first try; 0: stays
+    disconnects_after_ns: int  # of its first try; 0: stays
 
 
 @dataclass(slots=True, eq=False)
@@ -66,14 +66,14 @@
     """One try of a request."""
 
     request: ClientRequest
-    number: int  # 0 for the first
-    sent: int
-    patience_ns: int
+    index: int  # 0 for the first
+    sent_at: int
+    timeout_ns: int
 
     @property
-    def marked_retry(self) -> bool:
+    def is_retry(self) -> bool:
         """Whether the balancer is told that it is a retry."""
-        return self.number > 0
+        return self.index > 0
 
 
 class ClientModel:
@@ -88,62 +88,62 @@
         self._work = [_lognormal(klass) for klass in scenario.classes]
         self._drawn = 0
 
-    def gap_ns(self, requests_per_s: float) -> int:
+    def draw_interarrival_ns(self, requests_per_s: float) -> int:
         """Time from one arrival to the next, Poisson."""
         return int(self._random.expovariate(requests_per_s) * NS_PER_S)
 
-    def first_try(self, balancer: int, now: int) -> ClientTry:
+    def draw_first_try(self, balancer: int, now: int) -> ClientTry:
         """A new request that begins now."""
         self._drawn += 1
-        class_number = bisect(self._class_bounds, self._random.random())
-        patience = self._patience_ns(class_number)
-        mu, sigma = self._work[class_number]
+        class_index = bisect(self._class_bounds, self._random.random())
+        patience = self._timeout_ns(class_index)
+        mu, sigma = self._work[class_index]
         leaves = self._random.random() < self._clients.leaving_share
         request = ClientRequest(
             number=self._drawn,
             balancer=balancer,
-            class_number=class_number,
-            tenant=bisect(self._tenant_bounds, self._random.random()),
-            work_us=max(LEAST_WORK_US, int(self._random.lognormvariate(mu, sigma) * 1000)),
-            began=now,
+            class_index=class_index,
+            tenant_index=bisect(self._tenant_bounds, self._random.random()),
+            work_us=max(MIN_WORK_US, int(self._random.lognormvariate(mu, sigma) * 1000)),
+            started_at=now,
             honours_retry_after=self._random.random() < self._clients.honour_retry_after,
-            leaves_after_ns=1 + int(self._random.random() * patience) if leaves else 0,
+            disconnects_after_ns=1 + int(self._random.random() * patience) if leaves else 0,
         )
         return ClientTry(request, 0, now, patience)
 
-    def next_try(self, now: int, last: ClientTry, end: TryEnd, retry_after_ns: int) -> ClientTry | None:
+    def plan_retry(self, now: int, last: ClientTry, end: TryOutcome, retry_after_ns: int) -> ClientTry | None:
         """The try that follows one that was not served; None if the client gives up."""
         request = last.request
-        if last.number >= self._clients.retries or not self._may_repeat(request, end):
+        if last.index >= self._clients.retries or not self._may_repeat(request, end):
             return None
         pause = int(self._clients.backoff_ms * NS_PER_MS * (0.5 + self._random.random()))
         if request.honours_retry_after:
             pause = max(pause, retry_after_ns)
-        left = request.began + self._deadline_ns(request.class_number) - now - pause
+        left = request.started_at + self._deadline_ns(request.class_index) - now - pause
         if left < NS_PER_MS:
             return None
-        patience = min(left, self._patience_ns(request.class_number))
-        return ClientTry(request, last.number + 1, now + pause, patience)
+        patience = min(left, self._timeout_ns(request.class_index))
+        return ClientTry(request, last.index + 1, now + pause, patience)
 
-    def end_of_request(self, now: int, last: ClientTry, end: TryEnd) -> RequestEnd:
+    def request_outcome(self, now: int, last: ClientTry, end: TryOutcome) -> RequestOutcome:
         """How the request ended, after its last try."""
-        if end is not TryEnd.SERVED:
+        if end is not TryOutcome.SERVED:
             return _ENDS_WITHOUT_ANSWER[end]
-        klass, took = self.classes[last.request.class_number], now - last.request.began
+        klass, took = self.classes[last.request.class_index], now - last.request.started_at
         if took <= klass.aim_ms * NS_PER_MS:
-            return RequestEnd.IN_TIME
-        return RequestEnd.LATE if took <= klass.deadline_ms * NS_PER_MS else RequestEnd.NO_ANSWER
+            return RequestOutcome.IN_TIME
+        return RequestOutcome.LATE if took <= klass.deadline_ms * NS_PER_MS else RequestOutcome.NO_ANSWER
 
-    def _may_repeat(self, request: ClientRequest, end: TryEnd) -> bool:
-        klass = self.classes[request.class_number]
+    def _may_repeat(self, request: ClientRequest, end: TryOutcome) -> bool:
+        klass = self.classes[request.class_index]
         repeatable = klass.idempotency == "safe" or (klass.idempotency == "keyed" and klass.scope == "all")
-        return repeatable or end is TryEnd.REFUSED
+        return repeatable or end is TryOutcome.REFUSED
 
-    def _deadline_ns(self, class_number: int) -> int:
-        return int(self.classes[class_number].deadline_ms * NS_PER_MS)
+    def _deadline_ns(self, class_index: int) -> int:
+        return int(self.classes[class_index].deadline_ms * NS_PER_MS)
 
-    def _patience_ns(self, class_number: int) -> int:
-        return int(self._deadline_ns(class_number) * self._clients.try_share)
+    def _timeout_ns(self, class_index: int) -> int:
+        return int(self._deadline_ns(class_index) * self._clients.try_share)
 
 
 def _lognormal(klass: RequestClass) -> tuple[float, float]:
@@ -152,7 +152,7 @@
     return log(klass.work_ms) - variance / 2, sqrt(variance)
 
 
-def requests_per_s_of(scenario: Scenario, layout: Layout, balancer: int) -> float:
+def balancer_requests_per_s(scenario: Scenario, layout: Layout, balancer: int) -> float:
     """Mean rate of one balancer: its zone's share of the traffic, dealt out evenly within the zone."""
     zone = layout.balancer_zones[balancer]
     share = scenario.zones()[zone].traffic_share
--- a/emulator/fleet/clients.py
+++ b/emulator/fleet/clients.py
@@ -12,14 +12,14 @@
 import msgspec
 
 from emulator.fleet.client_model import (
-    MOST_LAG_NS,
+    MAX_ARRIVAL_LAG_NS,
     NS_PER_MS,
     NS_PER_S,
     ClientModel,
     ClientTry,
-    RequestEnd,
-    TryEnd,
-    requests_per_s_of,
+    RequestOutcome,
+    TryOutcome,
+    balancer_requests_per_s,
 )
 from emulator.fleet.contract import request_target
 from emulator.fleet.hollow_deadlines import Deadlines
@@ -67,8 +67,10 @@
         self.deadlines = Deadlines()
         self.model = ClientModel(scenario, layout, f"{config.seed}/clients")
         self._random = Random(f"{config.seed}/choice of balancer")
-        self._rates = [requests_per_s_of(scenario, layout, number) for number in range(balancers)]
-        self._pools = [ConnectionPool(config.addresses.balancer(number)) for number in range(balancers)]
+        self._rates = [balancer_requests_per_s(scenario, layout, number) for number in range(balancers)]
+        self._pools = [
+            ConnectionPool(config.addresses.balancer_address(number)) for number in range(balancers)
+        ]
         self._open: set[OpenTry] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._counts = RequestCounts()
@@ -111,27 +113,27 @@
     # ---- tries ----
 
     def _plan_arrival(self, balancer: int, after: int) -> None:
-        due = after + self.model.gap_ns(self._rates[balancer])
+        due = after + self.model.draw_interarrival_ns(self._rates[balancer])
         self.deadlines.add(due, partial(self._arrive, balancer, due))
 
     def _arrive(self, balancer: int, due: int, now: int) -> None:
         self._counts.asked += 1
         self._lag.record_us((now - due) // 1000)
-        if now - due > MOST_LAG_NS:
+        if now - due > MAX_ARRIVAL_LAG_NS:
             self._counts.missed += 1
         else:
-            self._begin(balancer, self.model.first_try(balancer, due), now)
+            self._begin(balancer, self.model.draw_first_try(balancer, due), now)
         self._plan_arrival(balancer, due)
 
     def _begin(self, balancer: int, client_try: ClientTry, now: int) -> None:
         self._counts.tries += 1
         one = OpenTry(client_try, now)
         self._open.add(one)
-        given_up = client_try.sent + client_try.patience_ns + ANSWER_GRACE_NS
+        given_up = client_try.sent_at + client_try.timeout_ns + ANSWER_GRACE_NS
         self.deadlines.add(given_up, partial(self._expire, one))
-        if client_try.request.leaves_after_ns and client_try.number == 0:
+        if client_try.request.disconnects_after_ns and client_try.index == 0:
             self.deadlines.add(
-                client_try.sent + client_try.request.leaves_after_ns, partial(self._leave, one)
+                client_try.sent_at + client_try.request.disconnects_after_ns, partial(self._leave, one)
             )
         self._run_task(self._send(balancer, one))
 
@@ -139,7 +141,7 @@
         try:
             connection = await self._pools[balancer].take()
         except OSError:
-            self._end(one, TryEnd.BROKEN, 0)
+            self._end(one, TryOutcome.CONNECTION_FAILED, 0)
             return
         if one.over:
             connection.close()
@@ -148,17 +150,17 @@
         connection.request(self._message(one.client_try, balancer), partial(self._answered, one))
 
     def _message(self, client_try: ClientTry, balancer: int) -> bytes:
-        request, klass = client_try.request, self.scenario.classes[client_try.request.class_number]
+        request, klass = client_try.request, self.scenario.classes[client_try.request.class_index]
         method = "GET" if klass.idempotency == "safe" else "POST"
         headers = [
             f"{method} {request_target(request.work_us, balancer)} HTTP/1.1",
             "Host: backend.local",
             f"X-Request-Id: {_request_id(client_try)}",
             f"X-Class: {klass.name}",
-            f"X-Tenant: {tenant_name(request.tenant)}",
-            f"X-Deadline-Ms: {client_try.patience_ns // NS_PER_MS}",
+            f"X-Tenant: {tenant_name(request.tenant_index)}",
+            f"X-Deadline-Ms: {client_try.timeout_ns // NS_PER_MS}",
         ]
-        if client_try.marked_retry:
+        if client_try.is_retry:
             headers.append("X-Retry: 1")
         if klass.idempotency == "keyed":
             headers.append(f"Idempotency-Key: key-{request.number}")
@@ -168,13 +170,13 @@
 
     def _answered(self, one: OpenTry, answer: HttpAnswer | None) -> None:
         if answer is None:
-            self._end(one, TryEnd.BROKEN, 0)
+            self._end(one, TryOutcome.CONNECTION_FAILED, 0)
         elif answer.status == 200:
             self._served(one, answer.body)
         elif answer.status in REFUSALS:
-            self._end(one, TryEnd.REFUSED, int(answer.retry_after_s * NS_PER_S))
+            self._end(one, TryOutcome.REFUSED, int(answer.retry_after_s * NS_PER_S))
         else:
-            self._end(one, TryEnd.FAILED, 0)
+            self._end(one, TryOutcome.FAILED, 0)
 
     def _served(self, one: OpenTry, body: bytes) -> None:
         now = time.monotonic_ns()
@@ -185,13 +187,13 @@
         else:
             self._unsound += made.served != _request_id(one.client_try)
             self._added.record_us((now - one.begun) // 1000 - made.held_us)
-        self._end(one, TryEnd.SERVED, 0)
+        self._end(one, TryOutcome.SERVED, 0)
 
     def _expire(self, one: OpenTry, now: int) -> None:
         if not one.over:
             if one.connection is not None:
                 one.connection.abandon()
-            self._end(one, TryEnd.NO_ANSWER, 0)
+            self._end(one, TryOutcome.NO_ANSWER, 0)
 
     def _leave(self, one: OpenTry, now: int) -> None:
         if not one.over:
@@ -199,23 +201,23 @@
             self._open.discard(one)
             if one.connection is not None:
                 one.connection.abandon()
-            self._counts.count_end(RequestEnd.LEFT)
+            self._counts.count_request_outcome(RequestOutcome.CLIENT_GONE)
 
-    def _end(self, one: OpenTry, end: TryEnd, retry_after_ns: int) -> None:
+    def _end(self, one: OpenTry, end: TryOutcome, retry_after_ns: int) -> None:
         if one.over:
             return
         one.over = True
         self._open.discard(one)
-        self._counts.count_try_end(end)
+        self._counts.count_try_outcome(end)
         now = time.monotonic_ns()
         again = None
-        if end is not TryEnd.SERVED:
-            again = self.model.next_try(now, one.client_try, end, retry_after_ns)
+        if end is not TryOutcome.SERVED:
+            again = self.model.plan_retry(now, one.client_try, end, retry_after_ns)
         if again is None:
-            self._counts.count_end(self.model.end_of_request(now, one.client_try, end))
+            self._counts.count_request_outcome(self.model.request_outcome(now, one.client_try, end))
         else:
             balancer = self._random.randrange(len(self._pools))
-            self.deadlines.add(again.sent, partial(self._begin, balancer, again))
+            self.deadlines.add(again.sent_at, partial(self._begin, balancer, again))
 
     # ---- measures ----
 
@@ -229,15 +231,15 @@
             requests=counts,
             open_requests=len(self._open),
             connections=len(self._open) + sum(pool.idle_connections() for pool in self._pools),
-            added=self._added.take(),
-            lag=self._lag.take(),
+            added=self._added.take_summary(),
+            lag=self._lag.take_summary(),
             unsound_answers=unsound,
         )
         say(measure)
 
 
 def _request_id(client_try: ClientTry) -> str:
-    return f"r{client_try.request.number}-{client_try.number}"
+    return f"r{client_try.request.number}-{client_try.index}"
 
 
 if __name__ == "__main__":
--- a/emulator/fleet/contract.py
+++ b/emulator/fleet/contract.py
@@ -23,7 +23,7 @@
     port: int
 
 
-def loopback(block: int, number: int, port: int) -> Address:
+def loopback_address(block: int, number: int, port: int) -> Address:
     """A loopback address of its own for member `number` of a block: 127.block.high.low, low from 1 to 254."""
     high, low = divmod(number, 254)
     return Address(f"127.{block}.{high}.{low + 1}", port)
@@ -37,17 +37,17 @@
     balancer_port: int
     shard_ports: tuple[int, ...]  # batch port of each process that hosts photo servers, on 127.0.0.1
 
-    def server(self, number: int) -> Address:
+    def server_address(self, number: int) -> Address:
         """Where stand-in photo server `number` speaks HTTP."""
-        return loopback(64, number, self.server_port)
+        return loopback_address(64, number, self.server_port)
 
-    def agent(self, balancer: int) -> Address:
+    def agent_address(self, balancer: int) -> Address:
         """Where the agent of balancer `balancer` listens; hollow and real ones share the numbers."""
-        return loopback(65, balancer, self.agent_port)
+        return loopback_address(65, balancer, self.agent_port)
 
-    def balancer(self, number: int) -> Address:
+    def balancer_address(self, number: int) -> Address:
         """Where the real balancer `number` listens."""
-        return loopback(66, number, self.balancer_port)
+        return loopback_address(66, number, self.balancer_port)
 
 
 class ProcessConfig(msgspec.Struct, frozen=True):
@@ -110,7 +110,7 @@
     return f"/api?work_us={work_us}&balancer={balancer}"
 
 
-def frame(message: AttemptBatch | ResultBatch) -> bytes:
+def encode_frame(message: AttemptBatch | ResultBatch) -> bytes:
     """The message as it is written to a connection."""
     body = msgspec.msgpack.encode(message)
     return LENGTH.pack(len(body)) + body
--- a/emulator/fleet/discovery.py
+++ b/emulator/fleet/discovery.py
@@ -10,8 +10,8 @@
 from emulator.fleet import timeline as events
 from emulator.fleet.deadlines import DeadlineHeap, Pacemaker
 from emulator.fleet.discovery_agent import Agent, AgentConnection, Traffic
-from emulator.fleet.discovery_encoding import InstanceWriter, RegionEncoder
-from emulator.fleet.discovery_list import Schedule
+from emulator.fleet.discovery_encoding import InstanceBuilder, RegionEncoder
+from emulator.fleet.discovery_list import ListSchedule
 from emulator.fleet.discovery_measures import Acknowledgements, DiscoverySecond, DiscoveryTotal, Series
 from emulator.fleet.discovery_transfers import Transfers
 from emulator.fleet.process import Clock, Fleet, run_child, say
@@ -37,10 +37,12 @@
     def _make_agents(self) -> list[Agent]:
         fleet = self.fleet
         layout, scenario = fleet.layout, fleet.scenario
-        schedule = Schedule(scenario, layout, fleet.timeline, fleet.config.seed)
+        schedule = ListSchedule(scenario, layout, fleet.timeline, fleet.config.seed)
         kinds = [kind.name for kind in scenario.servers.kinds]
-        writer = InstanceWriter(layout, fleet.config.addresses, kinds, lambda at_s: self.clock.unix_ms(at_s))
-        encoders = [RegionEncoder(versions, len(layout.servers), writer) for versions in schedule.versions]
+        builder = InstanceBuilder(
+            layout, fleet.config.addresses, kinds, lambda at_s: self.clock.unix_ms(at_s)
+        )
+        encoders = [RegionEncoder(versions, len(layout.servers), builder) for versions in schedule.versions]
         agents = []
         for number in range(scenario.balancers.total):
             region = layout.balancer_region(number)
@@ -52,7 +54,7 @@
                     traffic=self.traffic,
                     releases=self.releases,
                     versions=schedule.versions[region],
-                    visible_s=partial(schedule.visible_s, number),
+                    visible_at_s=partial(schedule.visible_at_s, number),
                     call_later=self._call_later,
                 )
             )
@@ -62,7 +64,7 @@
         """Listen at the address of each agent; calls before the start are answered too."""
         loop = asyncio.get_running_loop()
         for number, agent in enumerate(self.agents):
-            address = self.fleet.config.addresses.agent(number)
+            address = self.fleet.config.addresses.agent_address(number)
             self.servers.append(
                 await loop.create_server(
                     partial(AgentConnection, agent, self.transfers, self._now_s, self._rearm),
--- a/emulator/fleet/discovery_agent.py
+++ b/emulator/fleet/discovery_agent.py
@@ -65,7 +65,7 @@
     traffic: Traffic
     releases: DeadlineHeap
     versions: Sequence[ListVersion]
-    visible_s: Callable[[float], float]  # when this agent can tell what was released at a time
+    visible_at_s: Callable[[float], float]  # when this agent can tell what was released at a time
     call_later: Callable[[float, Callable[[], None]], object]
     generation: int = FIRST_GENERATION
     silent: bool = False  # answers nothing
@@ -76,7 +76,7 @@
         """Add the time at which the next version becomes visible here."""
         upcoming = self.generation - FIRST_GENERATION
         if upcoming < len(self.versions):
-            self.releases.add(self.visible_s(self.versions[upcoming].release_s), self._release)
+            self.releases.add(self.visible_at_s(self.versions[upcoming].release_s), self._release)
 
     def called(self, call: Call, reply: Reply, now_s: float) -> None:
         """Answer a call, at once or later, or stay silent."""
@@ -87,9 +87,9 @@
         self.acknowledgements.called(call.generation, now_s)
         if call.generation is None or not FIRST_GENERATION <= call.generation <= self.generation:
             self.traffic.whole_lists += 1
-            reply.answer(self.encoder.whole_list(self.generation))
+            reply.answer(self.encoder.full_list(self.generation))
         elif call.generation < self.generation or not call.hold_ms:
-            reply.answer(self.encoder.changes(call.generation, self.generation))
+            reply.answer(self.encoder.delta(call.generation, self.generation))
         else:
             held = Held(call.generation, reply)
             self.held.append(held)
@@ -112,19 +112,19 @@
     def _release(self, at_s: float) -> None:
         first = self.generation - FIRST_GENERATION
         for version in self.versions[first:]:
-            if self.visible_s(version.release_s) > at_s:
+            if self.visible_at_s(version.release_s) > at_s:
                 break
             self.generation = version.generation
             self.acknowledgements.release(version.generation, at_s)
         waiting, self.held = self.held, []
         for held in waiting:
-            held.reply.answer(self.encoder.changes(held.generation, self.generation))
+            held.reply.answer(self.encoder.delta(held.generation, self.generation))
         self.schedule_release()
 
     def _expire(self, held: Held) -> None:
         if held in self.held:
             self.held.remove(held)
-            held.reply.answer(self.encoder.changes(held.generation, self.generation))
+            held.reply.answer(self.encoder.delta(held.generation, self.generation))
 
 
 class AgentConnection(asyncio.Protocol):
--- a/emulator/fleet/discovery_encoding.py
+++ b/emulator/fleet/discovery_encoding.py
@@ -9,7 +9,14 @@
 
 from emulator.discovery_schema import Instance, Listing
 from emulator.fleet.contract import AddressPlan
-from emulator.fleet.discovery_list import FIRST_GENERATION, Entry, Lifecycle, ListVersion, merged, whole
+from emulator.fleet.discovery_list import (
+    FIRST_GENERATION,
+    Lifecycle,
+    ListEntry,
+    ListVersion,
+    build_full_list,
+    merge_versions,
+)
 from emulator.fleet.layout import Layout, instance_id
 from emulator.fleet.settings_for_balancers import host_port
 
@@ -17,7 +24,7 @@
 KEPT_CHANGES = 1024
 
 
-class InstanceWriter:
+class InstanceBuilder:
     """Turns entries into their published form."""
 
     def __init__(
@@ -30,9 +37,9 @@
         self._layout = layout
         self._kinds = kinds
         self._unix_ms = unix_ms
-        self._host_ports = [host_port(addresses.server(place.number)) for place in layout.servers]
+        self._host_ports = [host_port(addresses.server_address(place.number)) for place in layout.servers]
 
-    def write(self, entry: Entry) -> Instance:
+    def build(self, entry: ListEntry) -> Instance:
         """One entry in its published form."""
         place = self._layout.servers[entry.server]
         return Instance(
@@ -54,18 +61,18 @@
     would keep every agent from answering in time.
     """
 
-    def __init__(self, versions: Sequence[ListVersion], servers: int, writer: InstanceWriter) -> None:
+    def __init__(self, versions: Sequence[ListVersion], servers: int, builder: InstanceBuilder) -> None:
         self._versions = versions
-        self._writer = writer
-        first = whole(servers, ())
+        self._builder = builder
+        first = build_full_list(servers, ())
         self._first_rows = {(entry.server, entry.replacements): self._row(entry) for entry in first}
-        self.whole_list = lru_cache(KEPT_LISTS)(self._whole_list)
-        self.changes = lru_cache(KEPT_CHANGES)(self._changes)
+        self.full_list = lru_cache(KEPT_LISTS)(self._full_list)
+        self.delta = lru_cache(KEPT_CHANGES)(self._delta)
 
-    def _whole_list(self, generation: int) -> bytes:
+    def _full_list(self, generation: int) -> bytes:
         """The body of the whole list of a generation."""
         rows = self._first_rows.copy()
-        for entry in merged(self._versions[: generation - FIRST_GENERATION]):
+        for entry in merge_versions(self._versions[: generation - FIRST_GENERATION]):
             key = (entry.server, entry.replacements)
             if entry.lifecycle is Lifecycle.LEFT:
                 rows.pop(key, None)
@@ -73,13 +80,13 @@
                 rows[key] = self._row(entry)
         return _listing(generation, b"true", rows.values())
 
-    def _changes(self, begin: int, end: int) -> bytes:
+    def _delta(self, begin: int, end: int) -> bytes:
         """The body of the changes from one generation to a later one."""
         between = self._versions[begin - FIRST_GENERATION : end - FIRST_GENERATION]
-        return _listing(end, b"false", map(self._row, merged(between)))
+        return _listing(end, b"false", map(self._row, merge_versions(between)))
 
-    def _row(self, entry: Entry) -> bytes:
-        return msgspec.json.encode(self._writer.write(entry))
+    def _row(self, entry: ListEntry) -> bytes:
+        return msgspec.json.encode(self._builder.build(entry))
 
 
 def _listing(generation: int, reset: bytes, rows: Iterable[bytes]) -> bytes:
@@ -91,6 +98,6 @@
     layout: Layout, addresses: AddressPlan, kinds: Sequence[str], servers: int | None = None
 ) -> Listing:
     """The list at the start of a run, for a balancer's `known`; of the first servers only, if told."""
-    writer = InstanceWriter(layout, addresses, kinds, lambda _: 0)
-    entries = whole(len(layout.servers) if servers is None else servers, ())
-    return Listing(FIRST_GENERATION, True, [writer.write(entry) for entry in entries])
+    builder = InstanceBuilder(layout, addresses, kinds, lambda _: 0)
+    entries = build_full_list(len(layout.servers) if servers is None else servers, ())
+    return Listing(FIRST_GENERATION, True, [builder.build(entry) for entry in entries])
--- a/emulator/fleet/discovery_list.py
+++ b/emulator/fleet/discovery_list.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class ListEntry:
     """What the list says of one server."""
 
     server: int
@@ -61,7 +61,7 @@
 
     generation: int
     release_s: float  # when the region's replica has it
-    entries: tuple[Entry, ...]
+    entries: tuple[ListEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,7 +70,7 @@
 
     published_s: float
     region: int
-    entry: Entry
+    entry: ListEntry
 
 
 class Span:
@@ -85,7 +85,7 @@
         return self.end_s if self.begin_s <= at_s < self.end_s else at_s
 
 
-class Schedule:
+class ListSchedule:
     """All versions of all regions, and when each agent has them."""
 
     def __init__(
@@ -100,7 +100,7 @@
         draws = numpy.random.default_rng([seed, JITTER_STREAM]).random(len(layout.balancer_zones))
         self.jitter_s: list[float] = (draws * scenario.discovery.spread_s).tolist()
 
-    def visible_s(self, balancer: int, release_s: float) -> float:
+    def visible_at_s(self, balancer: int, release_s: float) -> float:
         """When the agent of a balancer can tell of a release: after it has it, and not during an outage."""
         at_s = release_s + self.jitter_s[balancer]
         for outage in self._outages[self.layout.balancer_region(balancer)]:
@@ -108,10 +108,10 @@
         return at_s
 
 
-class ToldLifecycles:
+class AnnouncedLifecycles:
     """What each balancer has been told of each server at some time, as far as its agent goes."""
 
-    def __init__(self, schedule: Schedule) -> None:
+    def __init__(self, schedule: ListSchedule) -> None:
         self._schedule = schedule
         self._told: list[dict[int, list[tuple[float, Lifecycle]]]] = []
         for versions in schedule.versions:
@@ -121,12 +121,12 @@
                     told[entry.server].append((version.release_s, entry.lifecycle))
             self._told.append(dict(told))
 
-    def told(self, balancer: int, server: int, at_s: float) -> Lifecycle:
+    def lifecycle_at(self, balancer: int, server: int, at_s: float) -> Lifecycle:
         """The lifecycle of the server that the agent of the balancer tells at the time."""
         region = self._schedule.layout.balancer_region(balancer)
         lifecycle = Lifecycle.ACTIVE
         for release_s, later in self._told[region].get(server, ()):
-            if self._schedule.visible_s(balancer, release_s) > at_s:
+            if self._schedule.visible_at_s(balancer, release_s) > at_s:
                 break
             lifecycle = later
         return lifecycle
@@ -134,8 +134,8 @@
     def should_have_stopped(self, balancer: int, server: int, sent_s: float, grace_s: float) -> bool:
         """Whether the balancer was told, longer ago than the grace, that the server wants nothing new."""
         return (
-            self.told(balancer, server, sent_s - grace_s) is not Lifecycle.ACTIVE
-            and self.told(balancer, server, sent_s) is not Lifecycle.ACTIVE
+            self.lifecycle_at(balancer, server, sent_s - grace_s) is not Lifecycle.ACTIVE
+            and self.lifecycle_at(balancer, server, sent_s) is not Lifecycle.ACTIVE
         )
 
 
@@ -144,16 +144,16 @@
     return FIRST_GENERATION + bisect.bisect_right(versions, at_s, key=lambda version: version.release_s)
 
 
-def merged(versions: Iterable[ListVersion]) -> list[Entry]:
+def merge_versions(versions: Iterable[ListVersion]) -> list[ListEntry]:
     """The changes of several versions in one: the latest of each instance."""
     latest = {(entry.server, entry.replacements): entry for version in versions for entry in version.entries}
     return list(latest.values())
 
 
-def whole(servers: int, versions: Iterable[ListVersion]) -> list[Entry]:
+def build_full_list(servers: int, versions: Iterable[ListVersion]) -> list[ListEntry]:
     """The whole list after these versions, without those that have left."""
-    latest = {(server, 0): Entry(server, 0, Lifecycle.ACTIVE, None) for server in range(servers)}
-    for entry in merged(versions):
+    latest = {(server, 0): ListEntry(server, 0, Lifecycle.ACTIVE, None) for server in range(servers)}
+    for entry in merge_versions(versions):
         latest[entry.server, entry.replacements] = entry
     return [entry for entry in latest.values() if entry.lifecycle is not Lifecycle.LEFT]
 
@@ -176,7 +176,7 @@
             period = math.ceil(noticed_s / service.period_s)
             published_s = max(latest[server], period * service.period_s + service.lag_s)
             latest[server] = published_s
-            entry = Entry(server, replacements[server], LIFECYCLE_AFTER[type(event)], started_s)
+            entry = ListEntry(server, replacements[server], LIFECYCLE_AFTER[type(event)], started_s)
             yield _Change(published_s, layout.servers[server].region, entry)
 
 
@@ -186,7 +186,7 @@
     region: int,
     splits: dict[frozenset[int], list[Span]],
 ) -> list[ListVersion]:
-    by_release: dict[float, list[Entry]] = defaultdict(list)
+    by_release: dict[float, list[ListEntry]] = defaultdict(list)
     for change in changes:
         release_s = change.published_s
         if change.region != region:
--- a/emulator/fleet/hollow.py
+++ b/emulator/fleet/hollow.py
@@ -32,7 +32,7 @@
     Watch,
 )
 from dykeshift.rules import Balancer
-from emulator.fleet.client_model import ClientTry, TryEnd
+from emulator.fleet.client_model import ClientTry, TryOutcome
 
 RETURN_MARGIN_NS = 5_000_000  # the real driver keeps so much of the client's time for the way back
 CPU_SAMPLE = 16  # the processor time of every 16th call into the module is measured, and counts 16 times
@@ -89,7 +89,9 @@
     def watch(self) -> None:
         """Begin to watch discovery."""
 
-    def answered(self, now: int, client_try: ClientTry, end: TryEnd, own_us: int, retry_after: int) -> None:
+    def answered(
+        self, now: int, client_try: ClientTry, end: TryOutcome, own_us: int, retry_after: int
+    ) -> None:
         """The client has its final answer; `own_us` as in `attempt_ended`."""
 
 
@@ -157,16 +159,16 @@
     def submit(self, now: int, client_try: ClientTry) -> str:
         """Take a client's try; its name."""
         self._named += 1
-        name = f"{client_try.request.number}.{client_try.number}/{self._named}"
-        deadline = now + max(0, client_try.patience_ns - RETURN_MARGIN_NS)
+        name = f"{client_try.request.number}.{client_try.index}/{self._named}"
+        deadline = now + max(0, client_try.timeout_ns - RETURN_MARGIN_NS)
         open_try = self._open[name] = OpenTry(name, client_try, now, deadline)
         self.effects.add_deadline(deadline, partial(self._expire, open_try))
         request = Request(
             id=name,
-            class_index=client_try.request.class_number,
+            class_index=client_try.request.class_index,
             deadline=deadline,
-            is_retry=client_try.marked_retry,
-            tenant_index=client_try.request.tenant,
+            is_retry=client_try.is_retry,
+            tenant_index=client_try.request.tenant_index,
         )
         self._tell(now, self._module.on_request, request)
         return name
@@ -215,7 +217,7 @@
         open_try.out -= 1
         if outcome is Outcome.OK and not open_try.closed:
             open_try.closed = True
-            self.effects.answered(now, open_try.client_try, TryEnd.SERVED, own_us, 0)
+            self.effects.answered(now, open_try.client_try, TryOutcome.SERVED, own_us, 0)
         end = AttemptEnd(
             request_id=open_try.name,
             attempt_index=attempt.index,
@@ -255,9 +257,9 @@
         elif isinstance(action, Cancel):
             self._cancel(now, action)
         elif isinstance(action, Refuse):
-            self._final(now, action.request_id, TryEnd.REFUSED, action.retry_after)
+            self._final(now, action.request_id, TryOutcome.REFUSED, action.retry_after)
         elif isinstance(action, Fail):
-            self._final(now, action.request_id, TryEnd.FAILED, 0)
+            self._final(now, action.request_id, TryOutcome.FAILED, 0)
         elif isinstance(action, Watch):
             self.effects.watch()
 
@@ -311,11 +313,11 @@
                 self._give_up(attempt, Outcome.TIMEOUT, now)
         if not open_try.closed:
             open_try.closed = True
-            self.effects.answered(now, open_try.client_try, TryEnd.FAILED, 0, 0)
+            self.effects.answered(now, open_try.client_try, TryOutcome.FAILED, 0, 0)
             self._tell(now, self._module.on_client_gone, open_try.name)
         self._forget(open_try)
 
-    def _final(self, now: int, name: str, end: TryEnd, retry_after: int) -> None:
+    def _final(self, now: int, name: str, end: TryOutcome, retry_after: int) -> None:
         open_try = self._open.get(name)
         if open_try is not None and not open_try.closed:
             open_try.closed = True
--- a/emulator/fleet/hollow_host.py
+++ b/emulator/fleet/hollow_host.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from dykeshift.interface import ListKind, Settings
-from emulator.fleet.client_model import NS_PER_S, ClientModel, ClientTry, RequestEnd, TryEnd
+from emulator.fleet.client_model import NS_PER_S, ClientModel, ClientTry, RequestOutcome, TryOutcome
 from emulator.fleet.contract import Address
 from emulator.fleet.hollow_deadlines import Deadlines
 from emulator.fleet.hollow import HollowAttempt, HollowBalancer, HollowCounts
@@ -110,7 +110,7 @@
         if balancer is None:
             return HollowCounts()
         for client_try in balancer.stop(now):
-            self._try_ended(now, client_try, TryEnd.BROKEN, 0)
+            self._try_ended(now, client_try, TryOutcome.CONNECTION_FAILED, 0)
         return balancer.counts
 
     # ---- clients ----
@@ -118,21 +118,21 @@
     def begin_arrivals(self, at: int) -> None:
         """Let clients come from then on."""
         if self._requests_per_s:
-            self._next_arrival = at + self.shared.model.gap_ns(self._requests_per_s)
+            self._next_arrival = at + self.shared.model.draw_interarrival_ns(self._requests_per_s)
             self.shared.deadlines.add(self._next_arrival, self._arrive)
 
     def _arrive(self, now: int) -> None:
         due = self._next_arrival
         if self.shared.meter.arrived(now - due):
             self._make_first_try(due, now)
-        self._next_arrival = due + self.shared.model.gap_ns(self._requests_per_s)
+        self._next_arrival = due + self.shared.model.draw_interarrival_ns(self._requests_per_s)
         self.shared.deadlines.add(self._next_arrival, self._arrive)
 
     def _make_first_try(self, due: int, now: int) -> None:
-        client_try = self.shared.model.first_try(self.number, due)
-        tenant = client_try.request.tenant
+        client_try = self.shared.model.draw_first_try(self.number, due)
+        tenant = client_try.request.tenant_index
         if tenant < len(self._quotas):
-            within_quota = self._quotas[tenant].take(due / NS_PER_S) > 0
+            within_quota = self._quotas[tenant].consume(due / NS_PER_S) > 0
             self.shared.meter.count_tenant(tenant, within_quota)
         self._submit(now, client_try)
 
@@ -143,29 +143,29 @@
     def _submit(self, now: int, client_try: ClientTry) -> None:
         self.shared.meter.counts.tries += 1
         if self.balancer is None:
-            self._try_ended(now, client_try, TryEnd.BROKEN, 0)
+            self._try_ended(now, client_try, TryOutcome.CONNECTION_FAILED, 0)
             return
         name = self.balancer.submit(now, client_try)
-        leaves = client_try.request.leaves_after_ns
-        if leaves and client_try.number == 0:
+        leaves = client_try.request.disconnects_after_ns
+        if leaves and client_try.index == 0:
             leave = partial(self._leave, self.balancer, name)
-            self.shared.deadlines.add(client_try.sent + leaves, leave)
+            self.shared.deadlines.add(client_try.sent_at + leaves, leave)
 
     def _leave(self, balancer: HollowBalancer, name: str, now: int) -> None:
         if balancer.client_gone(now, name):
-            self.shared.meter.counts.count_end(RequestEnd.LEFT)
+            self.shared.meter.counts.count_request_outcome(RequestOutcome.CLIENT_GONE)
 
-    def _try_ended(self, now: int, client_try: ClientTry, end: TryEnd, retry_after_ns: int) -> None:
-        self.shared.meter.counts.count_try_end(end)
+    def _try_ended(self, now: int, client_try: ClientTry, end: TryOutcome, retry_after_ns: int) -> None:
+        self.shared.meter.counts.count_try_outcome(end)
         again = None
-        if end is not TryEnd.SERVED:
-            again = self.shared.model.next_try(now, client_try, end, retry_after_ns)
+        if end is not TryOutcome.SERVED:
+            again = self.shared.model.plan_retry(now, client_try, end, retry_after_ns)
         if again is None:
-            end_of_request = self.shared.model.end_of_request(now, client_try, end)
-            self.shared.meter.counts.count_end(end_of_request)
+            request_outcome = self.shared.model.request_outcome(now, client_try, end)
+            self.shared.meter.counts.count_request_outcome(request_outcome)
             return
         host = self.shared.another_host() or self
-        self.shared.deadlines.add(again.sent, partial(host.try_again, again))
+        self.shared.deadlines.add(again.sent_at, partial(host.try_again, again))
 
     # ---- effects of the balancer ----
 
@@ -186,11 +186,13 @@
         if self._discovery is not None:
             self._discovery.watch()
 
-    def answered(self, now: int, client_try: ClientTry, end: TryEnd, own_us: int, retry_after: int) -> None:
+    def answered(
+        self, now: int, client_try: ClientTry, end: TryOutcome, own_us: int, retry_after: int
+    ) -> None:
         """The client has its final answer, unless it has given up before."""
-        given_up = now > client_try.sent + client_try.patience_ns + self.shared.answer_slack_ns
+        given_up = now > client_try.sent_at + client_try.timeout_ns + self.shared.answer_slack_ns
         if given_up:
-            end = TryEnd.NO_ANSWER
-        elif end is TryEnd.SERVED:
-            self.shared.meter.served((now - client_try.sent) // 1000 - own_us)
+            end = TryOutcome.NO_ANSWER
+        elif end is TryOutcome.SERVED:
+            self.shared.meter.served((now - client_try.sent_at) // 1000 - own_us)
         self._try_ended(now, client_try, end, retry_after)
--- a/emulator/fleet/hollow_measuring.py
+++ b/emulator/fleet/hollow_measuring.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from emulator.fleet.client_model import MOST_LAG_NS
+from emulator.fleet.client_model import MAX_ARRIVAL_LAG_NS
 from emulator.fleet.hollow import HollowCounts
 from emulator.fleet.latency import LatencyRecorder
 from emulator.fleet.measures import HollowMeasure, RequestCounts
@@ -27,7 +27,7 @@
         """A first try is taken so much later than it was due; False: too late to be made at all."""
         self.counts.asked += 1
         self._lag.record_us(lag_ns // 1000)
-        missed = lag_ns > MOST_LAG_NS
+        missed = lag_ns > MAX_ARRIVAL_LAG_NS
         self.counts.missed += missed
         return not missed
 
@@ -69,8 +69,8 @@
             decision_calls=hollow.calls,
             decision_us=hollow.decision_ns // 1000,
             open_tries=open_tries,
-            added=self._added.take(),
-            lag=self._lag.take(),
+            added=self._added.take_summary(),
+            lag=self._lag.take_summary(),
             tenant_asked=asked,
             tenant_within_split=within,
             ready_ms=ready,
--- a/emulator/fleet/hollow_shards.py
+++ b/emulator/fleet/hollow_shards.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from emulator.fleet.contract import Attempt, AttemptBatch, Result, ResultBatch, frame, split_frames
+from emulator.fleet.contract import Attempt, AttemptBatch, Result, ResultBatch, encode_frame, split_frames
 from emulator.fleet.hollow import HollowAttempt
 
 LOOPBACK = "127.0.0.1"
@@ -51,7 +51,7 @@
     def flush(self) -> None:
         """Write what has been queued."""
         if self._transport is not None and (self._attempts or self._cancelled):
-            message = frame(AttemptBatch(self._attempts, self._cancelled))
+            message = encode_frame(AttemptBatch(self._attempts, self._cancelled))
             self.bytes_sent += len(message)
             self._transport.write(message)
             self._attempts, self._cancelled = [], []
--- a/emulator/fleet/hollow_worker.py
+++ b/emulator/fleet/hollow_worker.py
@@ -14,7 +14,7 @@
 
 from dykeshift.interface import LoadReport, Outcome, Settings
 from dykeshift.settings import parse_settings
-from emulator.fleet.client_model import NS_PER_S, ClientModel, requests_per_s_of
+from emulator.fleet.client_model import NS_PER_S, ClientModel, balancer_requests_per_s
 from emulator.fleet.contract import Result
 from emulator.fleet.hollow_deadlines import Deadlines
 from emulator.fleet.hollow import HollowAttempt
@@ -24,7 +24,7 @@
 from emulator.fleet.process import Clock, Fleet, run_child, say
 from emulator.fleet.scenario import Scenario
 from emulator.fleet.settings_for_balancers import settings_object
-from emulator.fleet.tenant_quota import TENANTS_FOLLOWED, followed_tenants
+from emulator.fleet.tenant_quota import MAX_TRACKED_TENANTS, tracked_tenant_count
 from emulator.fleet.timeline import (
     BalancersStarted,
     BalancersStopped,
@@ -53,7 +53,7 @@
         self.deadlines = Deadlines()
         self.links = ShardLinks(self._result_came)
         self.model = ClientModel(scenario, layout, f"{config.seed}/hollow clients {config.index}")
-        self.meter = HollowMeter(followed_tenants(scenario))
+        self.meter = HollowMeter(tracked_tenant_count(scenario))
         self.zones = layout.zone_names
         self.kinds = tuple(kind.name for kind in scenario.servers.kinds)
         self._layout = layout
@@ -69,9 +69,9 @@
                 self,
                 number,
                 layout.balancer_zones[number],
-                config.addresses.agent(number),
+                config.addresses.agent_address(number),
                 replace(settings, balancer_index=number, zone=layout.balancer_zones[number]),
-                requests_per_s_of(scenario, layout, number),
+                balancer_requests_per_s(scenario, layout, number),
                 Random(f"{config.seed}/hollow balancer {number}"),
             )
             for number in range(scenario.balancers.real, scenario.balancers.total)
@@ -191,8 +191,10 @@
 
 def _split_quotas(settings: Settings, scenario: Scenario) -> list[float]:
     """Each balancer's equal part of the quotas of the tenants that are followed, by rank; 0 where none."""
-    quotas = [share / scenario.balancers.total for share in settings.tenant_quotas_per_s[:TENANTS_FOLLOWED]]
-    return quotas + [0.0] * (followed_tenants(scenario) - len(quotas))
+    quotas = [
+        share / scenario.balancers.total for share in settings.tenant_quotas_per_s[:MAX_TRACKED_TENANTS]
+    ]
+    return quotas + [0.0] * (tracked_tenant_count(scenario) - len(quotas))
 
 
 if __name__ == "__main__":
--- a/emulator/fleet/latency.py
+++ b/emulator/fleet/latency.py
@@ -39,7 +39,7 @@
     )
 
 
-def merge(summaries: Iterable[LatencySummary]) -> LatencySummary:
+def merge_summaries(summaries: Iterable[LatencySummary]) -> LatencySummary:
     """One summary over the values of all of them."""
     histogram = new_histogram()
     for summary in summaries:
@@ -55,7 +55,7 @@
         self._values_us: list[int] = []
         self.record_us = self._values_us.append
 
-    def take(self) -> LatencySummary:
+    def take_summary(self) -> LatencySummary:
         """Summary of what was recorded since the last call."""
         histogram = new_histogram()
         if self._values_us:
--- a/emulator/fleet/measures.py
+++ b/emulator/fleet/measures.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from emulator.fleet.client_model import RequestEnd, TryEnd
+from emulator.fleet.client_model import RequestOutcome, TryOutcome
 from emulator.fleet.latency import LatencySummary
 
-ENDS = tuple(end.value for end in RequestEnd)
+REQUEST_OUTCOMES = tuple(end.value for end in RequestOutcome)
 
 
 class RequestCounts(msgspec.Struct):
@@ -19,11 +19,11 @@
     ended: dict[str, int] = {}  # by RequestEnd
     tries_ended: dict[str, int] = {}  # by TryEnd
 
-    def count_end(self, end: RequestEnd) -> None:
+    def count_request_outcome(self, end: RequestOutcome) -> None:
         """A request is over."""
         self.ended[end.value] = self.ended.get(end.value, 0) + 1
 
-    def count_try_end(self, end: TryEnd) -> None:
+    def count_try_outcome(self, end: TryOutcome) -> None:
         """A try is over."""
         self.tries_ended[end.value] = self.tries_ended.get(end.value, 0) + 1
 
--- a/emulator/fleet/photo_server_batch.py
+++ b/emulator/fleet/photo_server_batch.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from emulator.fleet.contract import AttemptBatch, Result, ResultBatch, frame, split_frames
+from emulator.fleet.contract import AttemptBatch, Result, ResultBatch, encode_frame, split_frames
 from emulator.fleet.photo_server_group import Attempted, PhotoServerGroup
 
 MAX_RECEIVED = 16 * 1024 * 1024  # bytes of a batch that is not whole yet
@@ -70,7 +70,7 @@
     def flush(self) -> None:
         """Send the results that have gathered."""
         if self._results and self._transport is not None:
-            self._transport.write(frame(ResultBatch(self._results)))
+            self._transport.write(encode_frame(ResultBatch(self._results)))
         self._results = []
 
     def forget_expired(self, now_s: float) -> None:
--- a/emulator/fleet/photo_server_group.py
+++ b/emulator/fleet/photo_server_group.py
@@ -8,7 +8,7 @@
 
 from dykeshift.interface import Outcome
 from emulator.fleet import timeline as events
-from emulator.fleet.discovery_list import Schedule, ToldLifecycles
+from emulator.fleet.discovery_list import AnnouncedLifecycles, ListSchedule
 from emulator.fleet.layout import Layout
 from emulator.fleet.photo_server import CONNECT_FAILED, FALLEN, FULL, OK, RESET, RUNNING, VANISHED
 from emulator.fleet.photo_server import Fall, Job, PhotoServer, ServerCounts, State
@@ -82,7 +82,7 @@
         self.now_s = 0.0
         self.late_s = 0.0
         self._balancer_zones = layout.balancer_zones
-        self._told = ToldLifecycles(Schedule(scenario, layout, timeline, seed))
+        self._told = AnnouncedLifecycles(ListSchedule(scenario, layout, timeline, seed))
         self._heap: list[Deadline] = []
         self._added = 0
         self._splits: set[frozenset[int]] = set()
--- a/emulator/fleet/photo_server_process.py
+++ b/emulator/fleet/photo_server_process.py
@@ -32,7 +32,7 @@
         )
         context = HttpContext(self.group, scenario.mean_work_s(), self._now_s, self._rearm)
         self.endpoints = {
-            number: Endpoint(number, config.addresses.server(number), context)
+            number: Endpoint(number, config.addresses.server_address(number), context)
             for number in self.group.servers
         }
         self.batch_connections: set[BatchConnection] = set()
--- a/emulator/fleet/plots.py
+++ b/emulator/fleet/plots.py
@@ -13,7 +13,7 @@
 from matplotlib.axes import Axes  # noqa: E402  # the backend is chosen first
 from matplotlib.figure import Figure  # noqa: E402
 
-from emulator.fleet.measures import ENDS, ClientMeasure, HollowMeasure, ProcessMeasure  # noqa: E402
+from emulator.fleet.measures import REQUEST_OUTCOMES, ClientMeasure, HollowMeasure, ProcessMeasure  # noqa: E402
 from emulator.fleet.run_record import RunRecord  # noqa: E402
 from emulator.fleet.stand_in_figures import DISCOVERY_ROLE  # noqa: E402
 from emulator.fleet.timeline import (  # noqa: E402
@@ -155,6 +155,8 @@
             seconds[round(measure.at_s)][end] += count
     times = sorted(seconds)
     if times:
-        axes.stackplot(times, [[seconds[at][end] for at in times] for end in ENDS], labels=ENDS)
+        axes.stackplot(
+            times, [[seconds[at][end] for at in times] for end in REQUEST_OUTCOMES], labels=REQUEST_OUTCOMES
+        )
     axes.set_ylabel("requests a second, by end")
     _save(figure, [axes], events, record.folder / "requests_by_end.png")
--- a/emulator/fleet/real_balancers.py
+++ b/emulator/fleet/real_balancers.py
@@ -59,11 +59,11 @@
         self, number: int, addresses: AddressPlan, config: Callable[[str], dict[str, Any]], folder: Path
     ) -> None:
         self.number = number
-        self.address = addresses.balancer(number)
+        self.address = addresses.balancer_address(number)
         self.log = ProcessLog(folder / f"{ROLE}-{number}.log")
         self.process: asyncio.subprocess.Process | None = None
         self.ending = False  # its end is wanted
-        self._agent = addresses.agent(number)
+        self._agent = addresses.agent_address(number)
         self._config = config
         self._config_path = folder / f"{ROLE}-{number}.json"
 
--- a/emulator/fleet/settings_for_balancers.py
+++ b/emulator/fleet/settings_for_balancers.py
@@ -60,8 +60,8 @@
     """The document that NODE_CONFIG names for one balancer; `known` is a list in discovery's form."""
     return {
         "name": f"n{balancer}",
-        "listen": host_port(addresses.balancer(balancer)),
-        "discovery": host_port(addresses.agent(balancer)),
+        "listen": host_port(addresses.balancer_address(balancer)),
+        "discovery": host_port(addresses.agent_address(balancer)),
         "seed": seed,
         "limits": _limits(scenario.balancers),
         "known": known,
--- a/emulator/fleet/summary.py
+++ b/emulator/fleet/summary.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from emulator.fleet.latency import LatencySummary, merge
+from emulator.fleet.latency import LatencySummary, merge_summaries
 from emulator.fleet.layout import build_layout
-from emulator.fleet.measures import ENDS, ClientMeasure, HollowMeasure, ProcessMeasure
+from emulator.fleet.measures import REQUEST_OUTCOMES, ClientMeasure, HollowMeasure, ProcessMeasure
 from emulator.fleet.run_record import RunRecord
 from emulator.fleet.settings_for_balancers import settings_object
 from emulator.fleet.stand_in_figures import (
@@ -21,7 +21,7 @@
     discovery_bytes_per_s,
     server_figures,
 )
-from emulator.fleet.tenant_quota import TokenBucket, followed_tenants
+from emulator.fleet.tenant_quota import TokenBucket, tracked_tenant_count
 
 BALANCER_ROLE, HOLLOW_ROLE = "balancer", "hollow"
 
@@ -185,15 +185,15 @@
         return None
     carried = sum(measure.requests.asked - measure.requests.missed for measure in measures)
     tries = sum(measure.requests.tries for measure in measures)
-    ended = {end: sum(measure.requests.ended.get(end, 0) for measure in measures) for end in ENDS}
+    ended = {end: sum(measure.requests.ended.get(end, 0) for measure in measures) for end in REQUEST_OUTCOMES}
     measured_s = max(measure.at_s for measure in measures)
     return RequestFigures(
         asked_per_s=record.scenario.requests_per_s * share,
         carried_per_s=carried / measured_s,
         ended=ended,
         tries_per_request=tries / max(1, carried),
-        added=merge(measure.added for measure in measures),
-        lag=merge(measure.lag for measure in measures),
+        added=merge_summaries(measure.added for measure in measures),
+        lag=merge_summaries(measure.lag for measure in measures),
     )
 
 
@@ -232,7 +232,7 @@
     asked = sum(sum(measure.tenant_asked) for measure in record.hollow)
     split = sum(sum(measure.tenant_within_split) for measure in record.hollow)
     return TenantFigures(
-        followed=followed_tenants(record.scenario),
+        followed=tracked_tenant_count(record.scenario),
         asked=asked,
         within_split=split,
         within_fleet=_within_fleet(record),
@@ -249,11 +249,11 @@
     seconds: dict[int, list[list[int]]] = defaultdict(list)
     for measure in record.hollow:
         seconds[round(measure.at_s)].append(measure.tenant_asked)
-    buckets = [TokenBucket(quota, 0.0) for quota in quotas[: followed_tenants(record.scenario)]]
+    buckets = [TokenBucket(quota, 0.0) for quota in quotas[: tracked_tenant_count(record.scenario)]]
     within = 0
     for second, asked in sorted(seconds.items()):
         for bucket, wanted in zip(buckets, map(sum, zip(*asked, strict=True)), strict=False):
-            within += bucket.take(float(second), wanted)
+            within += bucket.consume(float(second), wanted)
     return within
 
 
--- a/emulator/fleet/tenant_quota.py
+++ b/emulator/fleet/tenant_quota.py
@@ -4,7 +4,7 @@
 
 from emulator.fleet.scenario import Scenario
 
-TENANTS_FOLLOWED = 500  # by rank: each worker counts these one by one, and the others not at all
+MAX_TRACKED_TENANTS = 500  # by rank: each worker counts these one by one, and the others not at all
 BURST_S = 3.0  # what a tenant leaves of its quota is kept for it for so long
 
 
@@ -19,7 +19,7 @@
         self._tokens = self._most
         self._filled_s = now_s
 
-    def take(self, now_s: float, wanted: int = 1) -> int:
+    def consume(self, now_s: float, wanted: int = 1) -> int:
         """How many of the requests are within the quota."""
         grown = self._tokens + (now_s - self._filled_s) * self._rate
         self._tokens, self._filled_s = min(self._most, grown), now_s
@@ -28,6 +28,6 @@
         return taken
 
 
-def followed_tenants(scenario: Scenario) -> int:
+def tracked_tenant_count(scenario: Scenario) -> int:
     """How many tenants are counted one by one."""
-    return min(scenario.tenants.count, TENANTS_FOLLOWED)
+    return min(scenario.tenants.count, MAX_TRACKED_TENANTS)
--- a/tests/emulator/fleet_fakes.py
+++ b/tests/emulator/fleet_fakes.py
@@ -17,7 +17,7 @@
     ServerState,
 )
 from dykeshift.settings import parse_settings
-from emulator.fleet.client_model import ClientModel, ClientTry, TryEnd
+from emulator.fleet.client_model import ClientModel, ClientTry, TryOutcome
 from emulator.fleet.hollow import HollowAttempt, HollowBalancer
 from emulator.fleet.hollow_deadlines import Deadlines
 from emulator.fleet.hollow_discovery import ListedStandIn
@@ -126,7 +126,7 @@
 
     at: int
     client_try: ClientTry
-    end: TryEnd
+    end: TryOutcome
 
 
 @dataclass
@@ -167,7 +167,9 @@
         """Counted."""
         self.watches += 1
 
-    def answered(self, now: int, client_try: ClientTry, end: TryEnd, own_us: int, retry_after: int) -> None:
+    def answered(
+        self, now: int, client_try: ClientTry, end: TryOutcome, own_us: int, retry_after: int
+    ) -> None:
         """Noted."""
         self.answers.append(Answer(now, client_try, end))
 
--- a/tests/emulator/test_fleet_hollow.py
+++ b/tests/emulator/test_fleet_hollow.py
@@ -8,12 +8,12 @@
 import pytest
 
 from dykeshift.interface import ListKind, Outcome, ServerState
-from emulator.fleet.client_model import NS_PER_MS, RequestEnd, TryEnd
-from emulator.fleet.contract import loopback
+from emulator.fleet.client_model import NS_PER_MS, RequestOutcome, TryOutcome
+from emulator.fleet.contract import loopback_address
 from emulator.fleet.hollow import HollowAttempt, HollowBalancer
 from emulator.fleet.hollow_discovery import server_number
 from emulator.fleet.hollow_measuring import HollowMeter
-from emulator.fleet.latency import LatencyRecorder, merge
+from emulator.fleet.latency import LatencyRecorder, merge_summaries
 from emulator.fleet.derived_scenario import write_quick_scenario
 from emulator.fleet.scenario import Scenario, load_scenario
 from emulator.fleet.tenant_quota import TokenBucket
@@ -52,16 +52,16 @@
     balancer = make_balancer(scenario, effects)
     tries = []
     for _ in range(600):
-        tries.append(model.first_try(0, effects.now))
+        tries.append(model.draw_first_try(0, effects.now))
         balancer.submit(effects.now, tries[-1])
         effects.run_for(4 * MS)
     effects.run_for(2 * S)
     answered = Counter(id(answer.client_try) for answer in effects.answers)
     assert answered == Counter({id(one): 1 for one in tries})
     assert all(
-        answer.at <= answer.client_try.sent + answer.client_try.patience_ns for answer in effects.answers
+        answer.at <= answer.client_try.sent_at + answer.client_try.timeout_ns for answer in effects.answers
     )
-    assert {answer.end for answer in effects.answers} >= {TryEnd.SERVED}
+    assert {answer.end for answer in effects.answers} >= {TryOutcome.SERVED}
     assert balancer.open_tries == 0, "attempts that nobody waits for are forgotten"
     assert balancer.take_counts().attempts == len(effects.sent)
 
@@ -69,7 +69,7 @@
 def test_a_client_that_leaves_is_not_answered(scenario: Scenario) -> None:
     effects = FakeEffects(serve=lambda attempt: None)
     balancer = make_balancer(scenario, effects)
-    name = balancer.submit(effects.now, make_model(scenario).first_try(0, effects.now))
+    name = balancer.submit(effects.now, make_model(scenario).draw_first_try(0, effects.now))
     effects.run_for(5 * MS)
     assert balancer.client_gone(effects.now, name)
     assert not balancer.client_gone(effects.now, name)
@@ -84,7 +84,7 @@
     changed = [listed(n, ServerState.DRAINING if n % 2 else ServerState.GONE) for n in range(4)]
     balancer.apply_list(effects.now, ListKind.DELTA, changed)
     for _ in range(200):
-        balancer.submit(effects.now, model.first_try(0, effects.now))
+        balancer.submit(effects.now, model.draw_first_try(0, effects.now))
         effects.run_for(4 * MS)
     assert effects.sent
     assert not {attempt.server for attempt in effects.sent} & {0, 1, 2, 3}
@@ -103,11 +103,11 @@
     effects = FakeEffects()
     balancer = make_balancer(scenario, effects)
     script(monkeypatch, balancer)
-    one = make_model(scenario).first_try(0, effects.now)
+    one = make_model(scenario).draw_first_try(0, effects.now)
     balancer.submit(effects.now, one)
     effects.run_for(S)
-    assert [(answer.client_try, answer.end) for answer in effects.answers] == [(one, TryEnd.FAILED)]
-    assert effects.answers[0].at <= one.sent + one.patience_ns
+    assert [(answer.client_try, answer.end) for answer in effects.answers] == [(one, TryOutcome.FAILED)]
+    assert effects.answers[0].at <= one.sent_at + one.timeout_ns
 
 
 def test_only_the_first_good_answer_reaches_the_client(
@@ -116,9 +116,9 @@
     effects = FakeEffects()
     balancer = make_balancer(scenario, effects)
     module = script(monkeypatch, balancer, 1001, 1002)
-    balancer.submit(effects.now, make_model(scenario).first_try(0, effects.now))
+    balancer.submit(effects.now, make_model(scenario).draw_first_try(0, effects.now))
     effects.run_for(S)
-    assert [answer.end for answer in effects.answers] == [TryEnd.SERVED]
+    assert [answer.end for answer in effects.answers] == [TryOutcome.SERVED]
     assert [(end.outcome, end.request_closed) for end in module.ends] == [(Outcome.OK, True)] * 2
 
 
@@ -129,7 +129,7 @@
     balancer = make_balancer(scenario, effects)
     balancer.apply_list(effects.now, ListKind.DELTA, [listed(3, ServerState.DRAINING)])
     module = script(monkeypatch, balancer, 1003, 4711)
-    balancer.submit(effects.now, make_model(scenario).first_try(0, effects.now))
+    balancer.submit(effects.now, make_model(scenario).draw_first_try(0, effects.now))
     effects.run_for(5 * MS)
     assert not effects.sent
     assert [(end.outcome, end.request_closed) for end in module.ends] == [(Outcome.NOT_SENT, False)] * 2
@@ -138,7 +138,7 @@
 def test_a_stopped_balancer_returns_its_open_tries_and_stays_silent(scenario: Scenario) -> None:
     effects, model = FakeEffects(serve=lambda attempt: (50 * MS, Outcome.OK)), make_model(scenario)
     balancer = make_balancer(scenario, effects)
-    tries = [model.first_try(0, effects.now) for _ in range(5)]
+    tries = [model.draw_first_try(0, effects.now) for _ in range(5)]
     for one in tries:
         balancer.submit(effects.now, one)
     assert balancer.stop(effects.now) == tries
@@ -150,35 +150,40 @@
 def test_clients_try_again_as_often_and_as_long_as_the_scenario_says(scenario: Scenario) -> None:
     model, now = make_model(scenario), 10 * S
     for _ in range(200):
-        one = model.first_try(0, now)
+        one = model.draw_first_try(0, now)
         request, tries, at = one.request, 1, now
-        deadline = now + int(scenario.classes[request.class_number].deadline_ms * NS_PER_MS)
-        while (again := model.next_try(at, one, TryEnd.REFUSED, 0)) is not None:
-            assert again.sent > at and again.marked_retry and again.request is request
-            assert again.sent + again.patience_ns <= deadline
-            one, tries, at = again, tries + 1, again.sent
+        deadline = now + int(scenario.classes[request.class_index].deadline_ms * NS_PER_MS)
+        while (again := model.plan_retry(at, one, TryOutcome.REFUSED, 0)) is not None:
+            assert again.sent_at > at and again.is_retry and again.request is request
+            assert again.sent_at + again.timeout_ns <= deadline
+            one, tries, at = again, tries + 1, again.sent_at
         assert tries == 1 + scenario.clients.retries
-        assert model.end_of_request(at, one, TryEnd.REFUSED) is RequestEnd.REFUSED
+        assert model.request_outcome(at, one, TryOutcome.REFUSED) is RequestOutcome.REFUSED
 
 
 def test_the_end_of_a_served_request_depends_on_its_time(scenario: Scenario) -> None:
-    one = make_model(scenario).first_try(0, 0)
-    klass, model = scenario.classes[one.request.class_number], make_model(scenario)
+    one = make_model(scenario).draw_first_try(0, 0)
+    klass, model = scenario.classes[one.request.class_index], make_model(scenario)
     ends = [
-        model.end_of_request(int(ms * NS_PER_MS), one, TryEnd.SERVED)
+        model.request_outcome(int(ms * NS_PER_MS), one, TryOutcome.SERVED)
         for ms in (klass.aim_ms, klass.deadline_ms, klass.deadline_ms + 1)
     ]
-    assert ends == [RequestEnd.IN_TIME, RequestEnd.LATE, RequestEnd.NO_ANSWER]
+    assert ends == [RequestOutcome.IN_TIME, RequestOutcome.LATE, RequestOutcome.NO_ANSWER]
 
 
 def test_a_servers_number_is_found_from_its_address() -> None:
-    assert [server_number(loopback(64, n, 80).host) for n in (0, 253, 254, 6399)] == [0, 253, 254, 6399]
+    assert [server_number(loopback_address(64, n, 80).host) for n in (0, 253, 254, 6399)] == [
+        0,
+        253,
+        254,
+        6399,
+    ]
 
 
 def test_a_quota_split_over_many_balancers_lets_less_in_than_the_whole() -> None:
     whole, parts = TokenBucket(10.0, 0.0), [TokenBucket(0.1, 0.0) for _ in range(100)]
-    at_one = sum(parts[0].take(second / 10) for second in range(100))  # all come to one balancer
-    at_whole = sum(whole.take(second / 10) for second in range(100))
+    at_one = sum(parts[0].consume(second / 10) for second in range(100))  # all come to one balancer
+    at_whole = sum(whole.consume(second / 10) for second in range(100))
     assert at_one < 3 and at_whole == 100
 
 
@@ -186,11 +191,11 @@
     recorders = [LatencyRecorder(), LatencyRecorder()]
     for value in range(1, 10_001):
         recorders[value % 2].record_us(value)
-    summary = merge(recorder.take() for recorder in recorders)
+    summary = merge_summaries(recorder.take_summary() for recorder in recorders)
     assert summary.count == 10_000
     assert summary.p50_us == pytest.approx(5000, rel=0.01)
     assert summary.p99_us == pytest.approx(9900, rel=0.01)
-    assert recorders[0].take().count == 0
+    assert recorders[0].take_summary().count == 0
 
 
 @pytest.mark.parametrize("path", sorted(SCENARIOS.glob("*.toml")), ids=lambda path: path.stem)
--- a/tests/emulator/test_fleet_run.py
+++ b/tests/emulator/test_fleet_run.py
@@ -17,7 +17,7 @@
 from click.testing import CliRunner
 
 from emulator.cli import main
-from emulator.fleet.measures import ENDS
+from emulator.fleet.measures import REQUEST_OUTCOMES
 from emulator.fleet.run_record import RunRecord
 from emulator.fleet.scenario import load_scenario
 from tests.emulator.fleet_fakes import write_scenario
@@ -113,7 +113,7 @@
     assert (summary["hollow_ready"]["starts"], summary["real_ready"]["starts"]) == (3, 1)
     for name in ("hollow", "real"):
         figures = summary[name]
-        assert set(figures["ended"]) == set(ENDS)
+        assert set(figures["ended"]) == set(REQUEST_OUTCOMES)
         assert figures["ended"]["in_time"] and figures["added"]["count"] and figures["lag"]["count"]
     assert summary["servers"]["pushed_over"] == 0
 
--- a/tests/emulator/test_standins.py
+++ b/tests/emulator/test_standins.py
@@ -24,7 +24,7 @@
     ProcessConfig,
     Result,
     ResultBatch,
-    frame,
+    encode_frame,
     request_target,
     split_frames,
 )
@@ -268,7 +268,7 @@
 
     def __init__(self, part: DiscoveryPart, balancer: int) -> None:
         given = part.fleet
-        agent = given.config.addresses.agent(balancer)
+        agent = given.config.addresses.agent_address(balancer)
         kinds = tuple(kind.name for kind in given.scenario.servers.kinds)
         self.lists: list[tuple[ListKind, list[ListedServer]]] = []
         self.failures: list[ListKind] = []
@@ -315,7 +315,7 @@
             told = Told(part, 20)
             whole = await told.heard(1)
             assert told.lists[0][0] is ListKind.FULL and len(whole) == 240
-            server = part.fleet.config.addresses.server(5)
+            server = part.fleet.config.addresses.server_address(5)
             assert whole[5].address == f"{server.host}:{server.port}"
             (drained,) = await told.heard(2)
             assert drained.entry.id == whole[5].entry.id and drained.entry.state is ServerState.DRAINING
@@ -394,7 +394,7 @@
 
 async def ask(part: PhotoServerPart, number: int, target: str, *headers: str) -> tuple[str, bytes]:
     """One request over HTTP; the head and the body of its answer."""
-    address = part.fleet.config.addresses.server(number)
+    address = part.fleet.config.addresses.server_address(number)
     reader, writer = await asyncio.open_connection(address.host, address.port)
     lines = (f"GET {target} HTTP/1.1", "Host: backend.local", *headers, "", "")
     writer.write("\r\n".join(lines).encode())
@@ -419,7 +419,7 @@
                 "127.0.0.1", part.fleet.config.addresses.shard_ports[0]
             )
             batch = [Attempt(7, SERVER, 200_000, 2_000_000, 3), Attempt(8, SERVER, 50_000, 2_000_000, 3)]
-            writer.write(frame(AttemptBatch(batch, [])) + frame(AttemptBatch([], [8])))
+            writer.write(encode_frame(AttemptBatch(batch, [])) + encode_frame(AttemptBatch([], [8])))
             while not part.group.servers[SERVER].busy_cores():
                 await asyncio.sleep(0.002)
             head, body = await ask(part, SERVER, request_target(20_000, 0), "X-Request-Id: r1")
--- a/tests/emulator/test_timeline.py
+++ b/tests/emulator/test_timeline.py
@@ -17,8 +17,14 @@
 from emulator.discovery_schema import Listing
 from emulator.fleet import timeline as events
 from emulator.fleet.contract import AddressPlan
-from emulator.fleet.discovery_encoding import InstanceWriter, RegionEncoder, known_list
-from emulator.fleet.discovery_list import Lifecycle, Schedule, ToldLifecycles, merged, whole
+from emulator.fleet.discovery_encoding import InstanceBuilder, RegionEncoder, known_list
+from emulator.fleet.discovery_list import (
+    AnnouncedLifecycles,
+    Lifecycle,
+    ListSchedule,
+    build_full_list,
+    merge_versions,
+)
 from emulator.fleet.layout import build_layout
 from emulator.fleet.process import Clock
 from emulator.fleet.scenario import Scenario, load_scenario
@@ -130,8 +136,8 @@
     assert {row.entry.zone for row in rows} == set(range(7)) and {row.entry.kind for row in rows} == {0, 1}
 
 
-def schedule_for(scenario: Scenario, *timeline: events.Event) -> Schedule:
-    return Schedule(scenario, build_layout(scenario, 1), timeline, 1)
+def schedule_for(scenario: Scenario, *timeline: events.Event) -> ListSchedule:
+    return ListSchedule(scenario, build_layout(scenario, 1), timeline, 1)
 
 
 def test_a_change_reaches_the_other_region_later_and_only_after_a_split(quick: Scenario) -> None:
@@ -148,9 +154,9 @@
     schedule = schedule_for(quick, *outage)
     near = next(n for n in range(21) if schedule.layout.balancer_region(n) == 0)
     far = next(n for n in range(21) if schedule.layout.balancer_region(n) == 1)
-    assert schedule.visible_s(near, 1.0) == 1.0 + schedule.jitter_s[near] < 1.12
-    assert schedule.visible_s(near, 2.5) == 4.0
-    assert schedule.visible_s(far, 2.5) == 2.5 + schedule.jitter_s[far]
+    assert schedule.visible_at_s(near, 1.0) == 1.0 + schedule.jitter_s[near] < 1.12
+    assert schedule.visible_at_s(near, 2.5) == 4.0
+    assert schedule.visible_at_s(far, 2.5) == 2.5 + schedule.jitter_s[far]
 
 
 def test_the_list_follows_a_replacement_and_a_restart(quick: Scenario) -> None:
@@ -164,18 +170,18 @@
     assert [version.generation for version in versions] == [2, 3, 4]
     left = {entry.server for entry in versions[1].entries if entry.lifecycle is Lifecycle.LEFT}
     assert left == {3, 4}
-    assert len(whole(240, versions[:2])) == 238
-    listed = {(entry.server, entry.replacements): entry.started_s for entry in whole(240, versions)}
+    assert len(build_full_list(240, versions[:2])) == 238
+    listed = {(entry.server, entry.replacements): entry.started_s for entry in build_full_list(240, versions)}
     assert len(listed) == 240 and (3, 0) not in listed
     assert listed[3, 1] == listed[4, 0] == 3.0 and listed[5, 0] is None
-    changed = {(entry.server, entry.replacements): entry.lifecycle for entry in merged(versions)}
+    changed = {(entry.server, entry.replacements): entry.lifecycle for entry in merge_versions(versions)}
     kinds = [kind.name for kind in quick.servers.kinds]
-    writer = InstanceWriter(build_layout(quick, 1), ADDRESSES, kinds, lambda at_s: int(at_s * 1000))
-    encoder = RegionEncoder(versions, 240, writer)
-    listing: Listing = msgspec.json.decode(encoder.whole_list(4), type=Listing)
+    builder = InstanceBuilder(build_layout(quick, 1), ADDRESSES, kinds, lambda at_s: int(at_s * 1000))
+    encoder = RegionEncoder(versions, 240, builder)
+    listing: Listing = msgspec.json.decode(encoder.full_list(4), type=Listing)
     assert (listing.generation, listing.reset, len(listing.instances)) == (4, True, 240)
     assert {row.instance_id for row in listing.instances} >= {"s-00003-1", "s-00004-0"}
-    news: Listing = msgspec.json.decode(encoder.changes(3, 4), type=Listing)
+    news: Listing = msgspec.json.decode(encoder.delta(3, 4), type=Listing)
     assert (news.generation, news.reset) == (4, False)
     assert [(row.instance_id, row.started_at_ms) for row in news.instances] == [
         ("s-00003-1", 3000),
@@ -191,7 +197,7 @@
 
 
 def test_a_send_counts_as_too_late_only_once_the_grace_after_the_telling_is_over(quick: Scenario) -> None:
-    told = ToldLifecycles(schedule_for(quick, events.ServersDrained(2.0, (0,))))
+    told = AnnouncedLifecycles(schedule_for(quick, events.ServersDrained(2.0, (0,))))
     assert not told.should_have_stopped(0, 0, 2.7, 0.35)  # told at 2.5 to 2.62
     assert told.should_have_stopped(0, 0, 3.0, 0.35)
     assert not told.should_have_stopped(0, 1, 3.0, 0.35)
