--- a/emulator/__init__.py
+++ b/emulator/__init__.py
@@ -1,1 +1,4 @@
-"""Emulator of a whole fleet, to measure how the balancer scales; never imported by the balancer itself."""
+"""Emulates the surroundings of balancers to test them and to measure how they scale.
+
+The balancer itself never imports it.
+"""
--- a/emulator/__main__.py
+++ b/emulator/__main__.py
@@ -1,4 +1,4 @@
-"""Run the emulator's command line: `python -m emulator`."""
+"""Entry point of `python -m emulator`."""
 
 from emulator.cli import main
 
--- a/emulator/cli.py
+++ b/emulator/cli.py
@@ -1,4 +1,4 @@
-"""Command line of the emulator; each command lives in a module of its own and is loaded when it is called."""
+"""Command line of the emulator. Each command is a module of its own, imported when the command is called."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import click
 
-# Command name -> module that defines a click command named `command`.
+# Command name to the module that defines a click command named `command`.
 COMMAND_MODULES: dict[str, str] = {
     "control": "emulator.control.command",
     "slopes": "emulator.slopes.command",
@@ -16,14 +16,14 @@
 
 
 class LazyGroup(click.Group):
-    """A group that imports a command's module only when that command is called or described."""
+    """Command group that imports the module of a command when the command is called or its help is shown."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Names of all commands, sorted."""
+        """Return the names of all commands, sorted."""
         return sorted(COMMAND_MODULES)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """The command of that name, or None if there is none."""
+        """Return the command with this name, or None if there is none."""
         module_name = COMMAND_MODULES.get(cmd_name)
         if module_name is None:
             return None
@@ -34,7 +34,8 @@
 
 @click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
-    """Measure the balancer at the size of a large fleet, on loopback alone.
+    """Test and measure the balancer on loopback, up to the size of a large fleet.
 
-    Exit codes: 0, the run is sound and every bar holds; 1, a bar failed; 2, the call or its input is wrong.
+    Exit codes: 0, the run is valid and every bar holds; 1, a bar failed; 2, the arguments or an input file
+    are invalid.
     """
--- a/emulator/deployment.py
+++ b/emulator/deployment.py
@@ -1,4 +1,4 @@
-"""The deployment's own way to start a balancer, so that what is measured is what is run."""
+"""Starts balancers with the command of the deploy file, so that measurements apply to what is deployed."""
 
 from __future__ import annotations
 
@@ -19,25 +19,29 @@
 # Resource limits of a balancer, in the format of its configuration.
 BALANCER_LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
 
-Output = IO[bytes] | IO[str] | int
+OutputTarget = IO[bytes] | IO[str] | int
 
 
 def balancer_command() -> str:
-    """The deployment's own command, which sets the program's environment; run by this interpreter."""
+    """Return the command of the deploy file, which also sets the environment of the balancer.
+
+    The Python interpreter of this process takes the place of the deployed one. Raises BadInputError if the
+    command does not start the deployed interpreter.
+    """
     command: str = tomllib.loads(DEPLOY_FILE.read_text())["run"]
     if DEPLOYED_PYTHON not in command:
-        raise BadInputError(f"the run line of {DEPLOY_FILE.name} does not start {DEPLOYED_PYTHON}")
+        raise BadInputError(f'the key "run" of {DEPLOY_FILE.name} does not start {DEPLOYED_PYTHON}')
     return command.replace(DEPLOYED_PYTHON, shlex.quote(sys.executable))
 
 
 async def start_balancer(
     environment: Mapping[str, str],
-    stdout: Output,
-    stderr: Output,
+    stdout: OutputTarget,
+    stderr: OutputTarget,
     start_new_session: bool = False,
     preexec_fn: Callable[[], None] | None = None,
 ) -> asyncio.subprocess.Process:
-    """A new balancer process with these variables beside this process's own."""
+    """Start a balancer process with `environment` added to the environment of this process."""
     return await asyncio.create_subprocess_exec(
         "/bin/sh",
         "-c",
--- a/emulator/discovery_schema.py
+++ b/emulator/discovery_schema.py
@@ -1,4 +1,4 @@
-"""Discovery's published form, as the stand-ins write it."""
+"""Responses of discovery in its published JSON format, as the discovery stand-ins write them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Instance(msgspec.Struct, frozen=True, rename="camel"):
-    """One entry of discovery's list."""
+    """One server of discovery's list."""
 
     instance_id: str
     host_port: str
@@ -19,7 +19,7 @@
 
 
 class Listing(msgspec.Struct, frozen=True):
-    """An answer of discovery: the whole list, or the changed entries alone."""
+    """A response of discovery: the full list if `reset` is set, otherwise only the changed servers."""
 
     generation: int
     reset: bool
--- a/emulator/faults/__init__.py
+++ b/emulator/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults for real processes on loopback: failing system calls, holds and stepped clocks."""
+"""Faults for real processes on loopback: failing system calls, stalls, clock steps and broken connections."""
--- a/emulator/faults/proxy.py
+++ b/emulator/faults/proxy.py
@@ -1,4 +1,4 @@
-"""A proxy on loopback that delays, splits, cuts, resets, spoils and repeats the bytes of either direction."""
+"""A TCP proxy on loopback that injects faults into the bytes of either direction of its connections."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from dataclasses import dataclass, field
 from random import Random
 
-READ_SIZE_BYTES = 65_536  # bytes read at once
-SPLIT_PAUSE_S = 0.001  # between two pieces, so that they are read apart
-LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: closed with a reset, whatever waits to be sent
+READ_SIZE_BYTES = 65_536
+SPLIT_PAUSE_S = 0.001  # between two parts, so that the receiver reads them separately
+LINGER_RESET = struct.pack("ii", 1, 0)  # value of SO_LINGER: close with a reset and drop unsent data
 
 
 @dataclass(frozen=True, slots=True)
 class StreamFaults:
-    """What one direction's bytes suffer; shares are of the pieces read."""
+    """Faults in the bytes of one direction; shares are of the chunks that the proxy reads."""
 
     delay_s: float = 0.0
-    split_share: float = 0.0  # sent in two pieces
-    truncate_share: float = 0.0  # half of the piece, then the end of the stream
-    reset_share: float = 0.0  # half of the piece, then a reset
+    split_share: float = 0.0  # sent in two parts
+    truncate_share: float = 0.0  # only the first half is sent, then the end of the stream
+    reset_share: float = 0.0  # only the first half is sent, then a reset
     duplicate_share: float = 0.0  # sent twice
-    replace_share: float = 0.0  # with the replacement below
+    replace_share: float = 0.0  # of the chunks that contain the pattern: it is replaced
     pattern: bytes = b""
     replacement: bytes = b""
 
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class FaultProxy:
-    """Relays each connection to the target, and tampers with the bytes of either direction."""
+    """Forwards each connection to the target and injects faults into the bytes of either direction."""
 
     target: tuple[str, int]
     random: Random
@@ -44,8 +44,8 @@
     _writers: set[asyncio.StreamWriter] = field(default_factory=set)
 
     async def listen(self) -> None:
-        """Listen on a port of loopback that is free."""
-        self._server = await asyncio.start_server(self._relay, "127.0.0.1", 0)
+        """Listen on a free port of 127.0.0.1."""
+        self._server = await asyncio.start_server(self._forward, "127.0.0.1", 0)
         self.address = self._server.sockets[0].getsockname()[:2]
 
     def stop(self) -> None:
@@ -53,14 +53,14 @@
         if self._server is not None:
             self._server.close()
         for writer in self._writers:
-            _reset(writer)
+            _reset_connection(writer)
 
-    async def _relay(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(asyncio.CancelledError):
             try:
                 target_reader, target_writer = await asyncio.open_connection(*self.target)
             except OSError:
-                _reset(writer)
+                _reset_connection(writer)
                 return
             self._writers |= {writer, target_writer}
             try:
@@ -68,8 +68,8 @@
                     directions.create_task(self._copy(reader, target_writer, self.faults_to_target))
                     directions.create_task(self._copy(target_reader, writer, self.faults_to_client))
             except* (OSError, RuntimeError):
-                _reset(writer)
-                _reset(target_writer)
+                _reset_connection(writer)
+                _reset_connection(target_writer)
             finally:
                 self._writers -= {writer, target_writer}
                 writer.transport.abort()
@@ -107,11 +107,11 @@
         return share > 0 and self.random.random() < share
 
 
-def _reset(writer: asyncio.StreamWriter) -> None:
+def _reset_connection(writer: asyncio.StreamWriter) -> None:
     connection: socket.socket | None = writer.get_extra_info("socket")
     if connection is not None and connection.fileno() >= 0:
         with suppress(OSError):
-            linger = socket.socket(fileno=connection.fileno())
-            linger.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
-            linger.detach()
+            same_socket = socket.socket(fileno=connection.fileno())
+            same_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+            same_socket.detach()
     writer.transport.abort()
--- a/emulator/faults/shim.py
+++ b/emulator/faults/shim.py
@@ -1,4 +1,4 @@
-"""Builds the fault shim and words its environment."""
+"""Compiles the fault shim (shim.c), a preloaded library, and encodes its environment variables."""
 
 from __future__ import annotations
 
@@ -14,15 +14,19 @@
 
 SHIM_SOURCE = Path(__file__).with_name("shim.c")
 COMPILERS = ("cc", "gcc", "clang")
-FOREVER_MS = 10**9
+NO_END_MS = 10**9  # later than the end of any process under test
 
 
 class ShimBuildError(RuntimeError):
-    """There is no C compiler on this machine, or it failed."""
+    """No C compiler is installed, or the compiler failed."""
 
 
 class SystemCall(Enum):
-    """System calls that can be made to suffer; RECV and SEND are of sockets, WRITE and SYNC of files."""
+    """System calls in which the shim can inject faults.
+
+    RECV and SEND are reads and writes of sockets, WRITE and SYNC are calls on regular files, CLOCK is a
+    reading of the monotonic clock.
+    """
 
     SOCKET = "socket"
     BIND = "bind"
@@ -38,8 +42,8 @@
     CLOCK = "clock"
 
 
-# Errors that Linux documents for the call and that may pass within a moment. A client's or server's broken
-# connection is told by RECV and SEND.
+# Transient errors that Linux documents for each call. A connection broken by a client or server shows up as
+# an error of RECV or SEND; such errors are not transient and not listed.
 TRANSIENT_ERRORS_BY_CALL: dict[SystemCall, tuple[int, ...]] = {
     SystemCall.SOCKET: (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM),
     SystemCall.BIND: (errno.ENOMEM, errno.EADDRINUSE),
@@ -64,38 +68,38 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultRule:
-    """What happens to a share of one call's uses, from one moment of the process's life to another."""
+    """A fault in a share of the uses of one call, between two times since the start of the process."""
 
     call: SystemCall
     action: str
     share: float = 1.0
-    max_faults: int = 0  # times; 0: no bound
+    max_faults: int = 0  # 0: no limit
     from_ms: int = 0
-    until_ms: int = FOREVER_MS
+    until_ms: int = NO_END_MS
 
     def encode(self) -> str:
-        """The rule as the shim reads it."""
+        """Return the rule in the format of FAULT_SHIM_RULES."""
         return (
             f"{self.call.value} {self.action} {self.share} {self.max_faults} {self.from_ms} {self.until_ms}"
         )
 
 
 def fail_with(error_number: int) -> str:
-    """The action of a call that fails with this errno."""
+    """Return the action that makes a call fail with this errno."""
     return f"E{error_number}"
 
 
 def stall_for(milliseconds: int) -> str:
-    """The action of a call that the process is held up in."""
+    """Return the action that stalls the calling thread in the call for this time."""
     return f"H{milliseconds}"
 
 
-SHORT_TRANSFER = "S"  # the action of a read or write that moves one byte at the most
+SHORT_TRANSFER = "S"  # the action that limits a read or write to one byte
 
 
 @dataclass(frozen=True, slots=True)
 class ClockStep:
-    """The wall clock is off by so much from a moment of the process's life on."""
+    """Offset of the wall clock from `at_ms` after the start of the process until the next step."""
 
     at_ms: int
     offset_s: int
@@ -103,15 +107,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Faults:
-    """All that the shim does to one process."""
+    """All faults that the shim injects into one process."""
 
     seed: int = 0
     rules: tuple[FaultRule, ...] = ()
     clock_steps: tuple[ClockStep, ...] = field(default=())
-    trace_path: Path | None = None  # gets a line for each fault: milliseconds, call, action
+    trace_path: Path | None = None  # file for a line per fault: milliseconds since the start, call, action
 
     def environment(self, library: Path) -> dict[str, str]:
-        """Variables for the process, beside its own."""
+        """Return the environment variables that preload and configure the shim."""
         variables = {
             "LD_PRELOAD": str(library),
             "FAULT_SHIM_SEED": str(self.seed),
@@ -124,7 +128,10 @@
 
 
 def build_shim(folder: Path | None = None) -> Path:
-    """The shim as a library, compiled once for each source; CompilerMissingError if it cannot be."""
+    """Compile the shim unless its source has been compiled before, and return the library's path.
+
+    Raises ShimBuildError if it cannot be compiled.
+    """
     folder = folder or Path(tempfile.gettempdir()) / f"fault-shim-{os.getuid()}"
     folder.mkdir(mode=0o700, parents=True, exist_ok=True)
     library = folder / f"shim-{hashlib.sha256(SHIM_SOURCE.read_bytes()).hexdigest()[:16]}.so"
@@ -132,11 +139,21 @@
         return library
     compiler = next(filter(None, map(shutil.which, COMPILERS)), None)
     if compiler is None:
-        raise ShimBuildError(f"none of {', '.join(COMPILERS)} is installed")
-    fresh = library.with_suffix(f".{os.getpid()}")
-    command = [compiler, "-shared", "-fPIC", "-O2", "-Wall", "-o", str(fresh), str(SHIM_SOURCE), "-ldl"]
-    done = subprocess.run(command, capture_output=True, text=True, check=False)
-    if done.returncode:
-        raise ShimBuildError(done.stderr.strip())
-    fresh.replace(library)
+        raise ShimBuildError(f"no C compiler is installed: {', '.join(COMPILERS)} not found")
+    temporary_file = library.with_suffix(f".{os.getpid()}")
+    command = [
+        compiler,
+        "-shared",
+        "-fPIC",
+        "-O2",
+        "-Wall",
+        "-o",
+        str(temporary_file),
+        str(SHIM_SOURCE),
+        "-ldl",
+    ]
+    result = subprocess.run(command, capture_output=True, text=True, check=False)
+    if result.returncode:
+        raise ShimBuildError(result.stderr.strip())
+    temporary_file.replace(library)
     return library
--- a/tests/emulator/test_fault_shim.py
+++ b/tests/emulator/test_fault_shim.py
@@ -1,4 +1,4 @@
-"""The fault shim, in processes that do one thing each."""
+"""Tests of the fault shim, each with a small program in a process of its own."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     stall_for,
 )
 
-TRY_SOCKET = """
+OPEN_THREE_SOCKETS = """
 import socket
 for _ in range(3):
     try:
@@ -49,51 +49,53 @@
 """
 
 
-def output(program: str, faults: Faults, *arguments: str) -> list[str]:
+def run_under_shim(program: str, faults: Faults, *arguments: str) -> list[str]:
     command = [sys.executable, "-c", program, *arguments]
     environment = faults.environment(build_shim())
-    done = subprocess.run(command, env=environment, capture_output=True, text=True, timeout=60, check=True)
-    return done.stdout.split("\n")[:-1]
+    result = subprocess.run(command, env=environment, capture_output=True, text=True, timeout=60, check=True)
+    return result.stdout.split("\n")[:-1]
 
 
-def test_a_call_fails_so_many_times_with_its_errno_and_each_is_traced(tmp_path: Path) -> None:
+def test_call_fails_with_its_errno_up_to_max_faults_and_each_fault_is_traced(tmp_path: Path) -> None:
     trace_path = tmp_path / "trace"
     faults = Faults(
         rules=(FaultRule(SystemCall.SOCKET, fail_with(errno.ENFILE), max_faults=2),), trace_path=trace_path
     )
-    assert output(TRY_SOCKET, faults) == [str(errno.ENFILE)] * 2 + ["open"]
+    assert run_under_shim(OPEN_THREE_SOCKETS, faults) == [str(errno.ENFILE)] * 2 + ["open"]
     assert [line.split()[1:] for line in trace_path.read_text().splitlines()] == [["socket", "E23"]] * 2
 
 
-def test_the_share_that_fails_follows_from_the_seed() -> None:
-    ends = set()
+def test_failing_calls_depend_on_the_seed_alone() -> None:
+    outputs = set()
     for seed in range(8):
         faults = Faults(seed, (FaultRule(SystemCall.SOCKET, fail_with(errno.EMFILE), share=0.5),))
-        assert output(TRY_SOCKET, faults) == output(TRY_SOCKET, faults)
-        ends.add(tuple(output(TRY_SOCKET, faults)))
-    assert len(ends) > 1
+        assert run_under_shim(OPEN_THREE_SOCKETS, faults) == run_under_shim(OPEN_THREE_SOCKETS, faults)
+        outputs.add(tuple(run_under_shim(OPEN_THREE_SOCKETS, faults)))
+    assert len(outputs) > 1
 
 
 @pytest.mark.parametrize("offset", [-3600, 5, 3600])
-def test_the_wall_clock_is_stepped_and_no_other(offset: int) -> None:
-    wall, monotonic = output(WALL_CLOCK, Faults(clock_steps=(ClockStep(0, offset),)))[0].split()
+def test_clock_step_moves_only_the_wall_clock(offset: int) -> None:
+    wall, monotonic = run_under_shim(WALL_CLOCK, Faults(clock_steps=(ClockStep(0, offset),)))[0].split()
     assert abs(int(wall) - time.time() - offset) < 3 and abs(float(monotonic) - time.monotonic()) < 3
 
 
-def test_reads_are_short() -> None:
-    assert output(SHORT_READS, Faults(rules=(FaultRule(SystemCall.RECV, SHORT_TRANSFER),))) == ["b'a' b'b'"]
+def test_short_transfer_reads_one_byte() -> None:
+    assert run_under_shim(SHORT_READS, Faults(rules=(FaultRule(SystemCall.RECV, SHORT_TRANSFER),))) == [
+        "b'a' b'b'"
+    ]
 
 
-def test_the_process_is_held_up_behind_a_reading_of_its_clock() -> None:
+def test_stall_of_a_clock_reading_delays_the_process() -> None:
     rule = FaultRule(SystemCall.CLOCK, stall_for(200), max_faults=1)
-    began = time.monotonic()
-    output("import time; time.monotonic()", Faults(rules=(rule,)))
-    assert time.monotonic() - began > 0.2
+    started_at = time.monotonic()
+    run_under_shim("import time; time.monotonic()", Faults(rules=(rule,)))
+    assert time.monotonic() - started_at > 0.2
 
 
-def test_writes_and_syncs_of_files_fail(tmp_path: Path) -> None:
+def test_writes_and_syncs_of_files_fail_with_their_errno(tmp_path: Path) -> None:
     rules = (
         FaultRule(SystemCall.WRITE, fail_with(errno.ENOSPC)),
         FaultRule(SystemCall.SYNC, fail_with(errno.EIO)),
     )
-    assert output(FILE_WRITE, Faults(rules=rules), str(tmp_path / "file")) == ["28", "5"]
+    assert run_under_shim(FILE_WRITE, Faults(rules=rules), str(tmp_path / "file")) == ["28", "5"]
