--- a/tests/test_decision_cost.py
+++ b/tests/test_decision_cost.py
@@ -1,8 +1,9 @@
-"""What the decision module's work and memory cost at 6,400 servers and 15,000 tenants, as counts.
+"""Work and memory of the decision module with up to 6,400 servers and 15,000 tenants.
 
-Counted are executed byte codes of the module, bytes allocated, objects held and bytes logged: the
-same on each run, however busy the machine. Byte codes miss the loops inside built-in functions such
-as sorted; the bytes that those allocate are counted for the events that must not grow at all.
+The tests count executed bytecode instructions of the module, allocated bytes, objects and logged bytes. These
+are the same in each run, however busy the machine is. Instructions do not include loops inside built-in
+functions such as sorted, so for events whose cost must not grow with the fleet, allocated bytes are checked
+too.
 """
 
 from __future__ import annotations
@@ -35,16 +36,16 @@
 from tests.harness import MS, S, make_settings
 
 SMALL = (100, 100)  # servers, tenants
-UNKNOWN_IN_PART = (1_000, 100)  # too many servers for all to be known
+PARTLY_KNOWN = (1_000, 100)  # too many servers for the state of all to be kept
 LARGE = (6_400, 15_000)
-BALANCERS = 420
-BETWEEN = 16 * MS  # 62 requests a second
-LATENCY = 10 * MS
-SWEEP = 375 * MS
+BALANCER_COUNT = 420
+REQUEST_INTERVAL_NS = 16 * MS  # 62 requests per second
+LATENCY_NS = 10 * MS
+SWEEP_INTERVAL_NS = 375 * MS
 
 
-def byte_codes(call: Callable[[], object]) -> int:
-    """How many byte codes of rules.py the call executes."""
+def count_instructions(call: Callable[[], object]) -> int:
+    """Count the bytecode instructions of rules.py that the call executes."""
     count = 0
 
     def on_event(frame: FrameType, event: str, arg: Any) -> Any:
@@ -65,7 +66,7 @@
 
 
 def peak_bytes(call: Callable[[], object]) -> int:
-    """How many bytes are allocated at once while the call runs."""
+    """Return the peak of the bytes allocated during the call."""
     gc.collect()
     tracemalloc.start()
     try:
@@ -76,218 +77,236 @@
 
 
 class Traffic:
-    """One balancer of many at 62 requests a second; attempts are answered quickly unless told otherwise."""
+    """One of many balancers, at 62 requests per second.
+
+    Attempts are answered quickly unless a test gives other outcomes.
+    """
 
     def __init__(self, size: tuple[int, int]) -> None:
-        servers, self.tenants = size
+        server_count, self.tenant_count = size
         self.entries = tuple(
-            ServerEntry(1_009 * n, n % 3, n % 40, 0, ServerState.READY, 1.0, 0) for n in range(servers)
+            ServerEntry(1_009 * n, n % 3, n % 40, 0, ServerState.READY, 1.0, 0) for n in range(server_count)
         )
-        shares = (2.0,) * self.tenants
+        quotas = (2.0,) * self.tenant_count
         self.balancer = Balancer(
-            make_settings(balancer_count=BALANCERS, balancer_index=211, tenant_quotas_per_s=shares), seed=7
+            make_settings(balancer_count=BALANCER_COUNT, balancer_index=211, tenant_quotas_per_s=quotas),
+            seed=7,
         )
-        self.now, self.count, self.logged = 100 * S, 0, list[str]()
-        self.next_sweep = self.now + SWEEP
+        self.now, self.request_count, self.log_lines = 100 * S, 0, list[str]()
+        self.next_sweep = self.now + SWEEP_INTERVAL_NS
         self.balancer.on_start(self.now)
 
-    def list_all(self) -> None:
+    def apply_full_list(self) -> None:
         self.balancer.on_list(self.now, ServerListUpdate(ListKind.FULL, self.entries))
 
-    def listed(self) -> Traffic:
-        self.list_all()
+    def with_full_list(self) -> Traffic:
+        self.apply_full_list()
         return self
 
-    def change(self, number: int = 17) -> None:
-        """One server drains and comes back."""
-        entry = self.entries[-number]
+    def drain_and_restore(self, index_from_end: int = 17) -> None:
+        """Let one server drain and become ready again."""
+        entry = self.entries[-index_from_end]
         for changed in (replace(entry, state=ServerState.DRAINING), entry):
             self.balancer.on_list(self.now, ServerListUpdate(ListKind.DELTA, (changed,)))
 
     def sweep(self) -> None:
         actions = self.balancer.on_timer(self.now, "sweep")
-        self.logged += [action.text for action in actions if isinstance(action, Log)]
+        self.log_lines += [action.text for action in actions if isinstance(action, Log)]
+
+    def submit(self, class_index: int = 0, *first_outcomes: Outcome) -> list[Action]:
+        """Submit a request and end its attempts, the first ones with these outcomes and the others with OK.
 
-    def request(self, klass: int = 0, *first_ends: Outcome) -> list[Action]:
-        """One request with its outcome: its first attempts end as told, all further ones well."""
-        self.count += 1
-        name, tenant = f"q{self.count}", self.count * 7 % self.tenants
-        ends, sent = list(first_ends), 0
+        Returns all actions that followed.
+        """
+        self.request_count += 1
+        request_id, tenant_index = f"q{self.request_count}", self.request_count * 7 % self.tenant_count
+        outcomes, sent = list(first_outcomes), 0
         deadline = self.now + 400 * MS
-        seen = queue = self.balancer.on_request(self.now, Request(name, klass, deadline, tenant_index=tenant))
+        actions = queue = self.balancer.on_request(
+            self.now, Request(request_id, class_index, deadline, tenant_index=tenant_index)
+        )
         while queue:
             action, *queue = queue
             if isinstance(action, Send):
-                outcome = ends.pop(0) if ends else Outcome.OK
-                end = AttemptEnd(name, sent, action.server_id, outcome, LATENCY, outcome is Outcome.OK)
+                outcome = outcomes.pop(0) if outcomes else Outcome.OK
+                end = AttemptEnd(
+                    request_id, sent, action.server_id, outcome, LATENCY_NS, outcome is Outcome.OK
+                )
                 sent += 1
-                more = self.balancer.on_attempt_end(self.now + LATENCY, end)
-                seen, queue = seen + more, queue + more
-        return seen
+                more = self.balancer.on_attempt_end(self.now + LATENCY_NS, end)
+                actions, queue = actions + more, queue + more
+        return actions
 
-    def requests(self, count: int, klass: int = 0, *first_ends: Outcome) -> None:
+    def submit_many(self, count: int, class_index: int = 0, *first_outcomes: Outcome) -> None:
         for _ in range(count):
-            self.now += BETWEEN
+            self.now += REQUEST_INTERVAL_NS
             if self.now >= self.next_sweep:
                 self.sweep()
-                self.next_sweep += SWEEP
-            self.request(klass, *first_ends)
+                self.next_sweep += SWEEP_INTERVAL_NS
+            self.submit(class_index, *first_outcomes)
 
 
-def one_request_each(traffic: Traffic, *first_ends: Outcome) -> None:
-    for klass in range(len(traffic.balancer.settings.classes)):
-        traffic.now += BETWEEN
-        traffic.request(klass, *first_ends)
+def submit_one_of_each_class(traffic: Traffic, *first_outcomes: Outcome) -> None:
+    for class_index in range(len(traffic.balancer.settings.classes)):
+        traffic.now += REQUEST_INTERVAL_NS
+        traffic.submit(class_index, *first_outcomes)
 
 
-def warmed(size: tuple[int, int]) -> Traffic:
-    traffic = Traffic(size).listed()
-    for klass in (0, 1, 2, 3, 4):
-        traffic.requests(60, klass)
+def warmed_up(size: tuple[int, int]) -> Traffic:
+    traffic = Traffic(size).with_full_list()
+    for class_index in (0, 1, 2, 3, 4):
+        traffic.submit_many(60, class_index)
     return traffic
 
 
-def four_sweeps(traffic: Traffic) -> None:
+def sweep_four_times(traffic: Traffic) -> None:
     for _ in range(4):
         traffic.sweep()
 
 
 EVENTS: dict[str, Callable[[Traffic], None]] = {
-    "requests": one_request_each,
-    "requests whose connects fail": lambda t: one_request_each(t, Outcome.CONNECT_FAILED),
-    "requests whose answers fail, keyed ones sent again": lambda t: one_request_each(t, Outcome.RESET),
-    "sweeps": four_sweeps,
+    "requests": submit_one_of_each_class,
+    "failed connects": lambda traffic: submit_one_of_each_class(traffic, Outcome.CONNECT_FAILED),
+    "resets and repeats of keyed requests": lambda traffic: submit_one_of_each_class(traffic, Outcome.RESET),
+    "sweeps": sweep_four_times,
 }
 
 
 @pytest.mark.parametrize("name", EVENTS)
-@pytest.mark.parametrize("start", [lambda size: Traffic(size).listed(), warmed], ids=["first", "warm"])
-def test_requests_and_sweeps_do_the_same_work_at_any_size(
+@pytest.mark.parametrize(
+    "start", [lambda size: Traffic(size).with_full_list(), warmed_up], ids=["first", "warm"]
+)
+def test_requests_and_sweeps_cost_the_same_at_any_size(
     start: Callable[[tuple[int, int]], Traffic], name: str
 ) -> None:
-    calls = [partial(EVENTS[name], start(size)) for size in (SMALL, UNKNOWN_IN_PART, LARGE)]
-    work = [byte_codes(call) for call in calls]
-    assert work[2] <= 1.5 * min(work[:2]), work
-    space = [peak_bytes(call) for call in calls]
-    assert space[2] <= 1.5 * max(space[:2]) + 10_000, space  # a pointer to each server takes 51,200
+    calls = [partial(EVENTS[name], start(size)) for size in (SMALL, PARTLY_KNOWN, LARGE)]
+    instructions = [count_instructions(call) for call in calls]
+    assert instructions[2] <= 1.5 * min(instructions[:2]), instructions
+    allocated = [peak_bytes(call) for call in calls]
+    # One pointer to each server would already take 51,200 bytes.
+    assert allocated[2] <= 1.5 * max(allocated[:2]) + 10_000, allocated
 
 
-def test_a_changed_entry_costs_hardly_more_among_many() -> None:
-    work = [byte_codes(warmed(size).change) for size in (SMALL, UNKNOWN_IN_PART, LARGE)]
-    assert work[2] <= 3 * work[0] and work[2] <= 1.5 * work[1], work
+def test_a_changed_entry_costs_hardly_more_in_a_large_fleet() -> None:
+    instructions = [
+        count_instructions(warmed_up(size).drain_and_restore) for size in (SMALL, PARTLY_KNOWN, LARGE)
+    ]
+    assert instructions[2] <= 3 * instructions[0] and instructions[2] <= 1.5 * instructions[1], instructions
 
 
-def test_a_whole_list_costs_a_few_steps_a_server() -> None:
-    for size, most in ((SMALL, 300), (LARGE, 100)):  # of a small fleet each server is met at once
-        assert byte_codes(Traffic(size).list_all) <= most * size[0]
-        assert byte_codes(warmed(size).list_all) <= most * size[0]
+def test_a_full_list_costs_a_few_instructions_per_server() -> None:
+    # In a small fleet, state is created for each server at once.
+    for size, max_per_server in ((SMALL, 300), (LARGE, 100)):
+        assert count_instructions(Traffic(size).apply_full_list) <= max_per_server * size[0]
+        assert count_instructions(warmed_up(size).apply_full_list) <= max_per_server * size[0]
 
 
-def test_learned_state_is_held_for_the_servers_met_alone() -> None:
+def test_state_is_kept_only_for_servers_that_are_used() -> None:
     traffic = Traffic(LARGE)
-    bytes_before_traffic = peak_bytes(traffic.list_all)
+    bytes_before_traffic = peak_bytes(traffic.apply_full_list)
     assert bytes_before_traffic <= 1_000_000
     tracemalloc.start()
     other = Balancer(traffic.balancer.settings, seed=8)
     other.on_list(traffic.now, ServerListUpdate(ListKind.FULL, traffic.entries))
-    held = tracemalloc.get_traced_memory()[0]
+    allocated = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    assert held <= 800_000, "entries aside: an index of the servers and two numbers a tenant"
+    assert allocated <= 800_000, "more than an index of the servers and two numbers per tenant, entries aside"
     assert len(other.servers) == len(other.pool) == 10
 
 
-def test_servers_once_met_are_forgotten_beyond_a_bound() -> None:
-    traffic = Traffic(LARGE).listed()
-    for _ in range(40):  # whoever cannot be reached gives its place in the pool to another
-        traffic.requests(20, 2, *[Outcome.CONNECT_FAILED] * 2)
-    traffic.requests(1200, 3)
+def test_state_of_unused_servers_is_dropped_beyond_a_limit() -> None:
+    traffic = Traffic(LARGE).with_full_list()
+    for _ in range(40):  # a server that cannot be reached is replaced in the pool by another
+        traffic.submit_many(20, 2, *[Outcome.CONNECT_FAILED] * 2)
+    traffic.submit_many(1200, 3)
     balancer = traffic.balancer
     assert len(balancer.servers) <= len(balancer.pool) + MAX_KNOWN_SERVERS
     del balancer, traffic
     gc.collect()
     kept = [o for o in gc.get_objects() if isinstance(o, Server | ServerClassState)]
-    assert not kept, "a balancer that is dropped leaves nothing behind"
+    assert not kept, "still referenced although the balancer was deleted"
 
 
-def test_log_lines_are_few_and_short_at_any_size() -> None:
-    sizes = []
+def test_the_log_is_short_at_any_size() -> None:
+    log_sizes = []
     for size in (SMALL, LARGE):
-        traffic = warmed(size)
-        traffic.requests(60, 2, Outcome.ERROR)
-        traffic.logged.clear()
+        traffic = warmed_up(size)
+        traffic.submit_many(60, 2, Outcome.ERROR)
+        traffic.log_lines.clear()
         for _ in range(2):
             traffic.sweep()
-        assert len(traffic.logged) == 2 + MAX_LOGGED_SERVERS
-        sizes.append(sum(map(len, traffic.logged)))
-    assert max(sizes) <= 1_500 and sizes[1] <= 1.5 * sizes[0], sizes
+        assert len(traffic.log_lines) == 2 + MAX_LOGGED_SERVERS
+        log_sizes.append(sum(map(len, traffic.log_lines)))
+    assert max(log_sizes) <= 1_500 and log_sizes[1] <= 1.5 * log_sizes[0], log_sizes
 
 
-def test_a_report_counts_all_servers_and_names_those_that_fail() -> None:
-    traffic = warmed(LARGE)
-    failing = {
-        a.server_id for _ in range(4) for a in traffic.request(2, Outcome.ERROR) if isinstance(a, Send)
-    }
-    traffic.change()
+def test_the_log_counts_all_servers_and_names_those_that_fail() -> None:
+    traffic = warmed_up(LARGE)
+    failing = {a.server_id for _ in range(4) for a in traffic.submit(2, Outcome.ERROR) if isinstance(a, Send)}
+    traffic.drain_and_restore()
     entry = traffic.entries[0]
-    drains = replace(entry, state=ServerState.DRAINING)
-    traffic.balancer.on_list(traffic.now, ServerListUpdate(ListKind.DELTA, (drains,)))
-    traffic.logged.clear()
+    draining = replace(entry, state=ServerState.DRAINING)
+    traffic.balancer.on_list(traffic.now, ServerListUpdate(ListKind.DELTA, (draining,)))
+    traffic.log_lines.clear()
     traffic.sweep()
     traffic.sweep()
-    (counts,) = (line for line in traffic.logged if line.startswith("servers "))
+    (counts,) = (line for line in traffic.log_lines if line.startswith("servers "))
     assert counts.startswith("servers 6400 ready 6399 draining 1 pool 10 known 1")
     assert f" failing {len(failing)} " in counts and "post/ERROR:4" in counts
-    named = {int(line.split()[1], 16) for line in traffic.logged if line.startswith("server ")}
+    named = {int(line.split()[1], 16) for line in traffic.log_lines if line.startswith("server ")}
     assert failing <= named and len(named) == MAX_LOGGED_SERVERS
 
 
-def test_a_keyed_repeat_looks_at_a_sample_of_its_cell() -> None:
-    traffic = warmed(LARGE)
+def test_a_repeat_of_a_keyed_request_goes_to_a_sample_of_its_cell() -> None:
+    traffic = warmed_up(LARGE)
     cells = {entry.id: entry.cell for entry in traffic.entries}
     repeats = 0
     for _ in range(50):
-        traffic.now += BETWEEN
-        sent = [a.server_id for a in traffic.request(1, Outcome.RESET) if isinstance(a, Send)]
-        repeats += len(sent) > 1
-        assert len({cells[number] for number in sent}) <= 1
-    assert repeats > 25, "its cell has 160 servers, of which the pool holds hardly one"
-
-
-def test_a_tenant_gets_no_more_than_its_share_however_seldom_it_asks() -> None:
-    traffic = Traffic(LARGE).listed()
-    shares = traffic.balancer.tenant_quotas
-    part = 2.0 / BALANCERS
-    within = 0
-    for n in range(2_000):  # one tenant's requests, far beyond its share, and others between
+        traffic.now += REQUEST_INTERVAL_NS
+        server_ids = [a.server_id for a in traffic.submit(1, Outcome.RESET) if isinstance(a, Send)]
+        repeats += len(server_ids) > 1
+        assert len({cells[server_id] for server_id in server_ids}) <= 1
+    assert repeats > 25, "limited to the pool, which has hardly one of the 160 servers of a cell"
+
+
+def test_a_tenant_gets_no_more_than_its_quota_at_long_intervals() -> None:
+    traffic = Traffic(LARGE).with_full_list()
+    quotas = traffic.balancer.tenant_quotas
+    quota_per_balancer = 2.0 / BALANCER_COUNT
+    within_quota = 0
+    for n in range(2_000):  # one tenant, far over its quota, and requests of others between
         traffic.now += 10 * S // 3
-        within += shares.consume(traffic.now, Request(f"t{n}", 0, traffic.now + S, tenant_index=14_999))
-        shares.consume(traffic.now, Request(f"u{n}", 0, traffic.now + S, tenant_index=n))
-    assert within == pytest.approx(part * 2_000 * 10 / 3, abs=2)
+        within_quota += quotas.consume(traffic.now, Request(f"t{n}", 0, traffic.now + S, tenant_index=14_999))
+        quotas.consume(traffic.now, Request(f"u{n}", 0, traffic.now + S, tenant_index=n))
+    assert within_quota == pytest.approx(quota_per_balancer * 2_000 * 10 / 3, abs=2)
 
 
-def test_a_server_met_anew_gets_no_second_attempt_of_the_same_request() -> None:
-    """Its state was dropped between two attempts: by that alone it looked like another server."""
-    balancer = Balancer(make_settings(balancer_count=BALANCERS), seed=7)
+def test_a_server_whose_state_was_dropped_gets_no_second_attempt_of_the_same_request() -> None:
+    """Guards against taking a server for another one because its state was dropped between two attempts."""
+    balancer = Balancer(make_settings(balancer_count=BALANCER_COUNT), seed=7)
     now = 100 * S
     entry = ServerEntry(5, 0, 0, 0, ServerState.READY, 1.0, 0)
     balancer.on_list(now, ServerListUpdate(ListKind.FULL, (entry,)))
-    (sent,) = (a for a in balancer.on_request(now, Request("q", 0, now + S)) if isinstance(a, Send))
-    del balancer.servers[sent.server_id]
+    (send,) = (a for a in balancer.on_request(now, Request("q", 0, now + S)) if isinstance(a, Send))
+    del balancer.servers[send.server_id]
     balancer.on_list(now, ServerListUpdate(ListKind.DELTA, (entry,)))
-    end = AttemptEnd("q", 0, sent.server_id, Outcome.FULL, MS, False)
+    end = AttemptEnd("q", 0, send.server_id, Outcome.FULL, MS, False)
     actions = balancer.on_attempt_end(now + MS, end) + balancer.on_timer(now + 50 * MS, "r:q")
     assert not any(isinstance(action, Send) for action in actions)
 
 
-def test_servers_met_later_begin_with_the_trust_of_the_list_that_told_of_them() -> None:
-    """A short cached list of long ago came first: its servers were each shared by all balancers."""
+def test_servers_listed_later_start_with_the_mean_limit() -> None:
+    """Guards against keeping the initial limit of a short outdated list that came first.
+
+    That limit was low, as all balancers shared each of the few servers of that list.
+    """
     traffic = Traffic(LARGE)
     balancer = traffic.balancer
     balancer.on_list(traffic.now, ServerListUpdate(ListKind.CACHED, traffic.entries[:10]))
     for server in balancer.servers.values():
         server.in_flight_limit = 3.0
-    traffic.list_all()
+    traffic.apply_full_list()
     assert balancer.initial_limit == pytest.approx(3.0)
     assert [server.in_flight_limit for server in balancer.pool] == [pytest.approx(3.0)] * 10
-    traffic.change()
+    traffic.drain_and_restore()
     assert balancer.initial_limit == pytest.approx(3.0)
