--- a/emulator/control/results.py
+++ b/emulator/control/results.py
@@ -1,4 +1,4 @@
-"""The lines that a run prints, and the bars that its figures have to hold."""
+"""The result lines that a run prints, and the bars that its figures have to hold."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ChangeResult(msgspec.Struct, frozen=True, tag="change"):
-    """One version: seconds until in force, over the balancers that could hear of it."""
+    """One version: seconds until it is in force, over the balancers that could receive it."""
 
     version: int
     machine: int
@@ -17,13 +17,13 @@
 
 
 class RefusedResult(msgspec.Struct, frozen=True, tag="refused"):
-    """One change that was turned down, and the line that says so."""
+    """One rejected change and the reason, as one line."""
 
     what: str
     machine: int
     status: int
     line: str
-    balancers: int = 0  # that turned it down, where the machines had let it through
+    balancers: int = 0  # that rejected it, if the control machines had accepted it
 
 
 class FailedResult(msgspec.Struct, frozen=True, tag="request failed"):
@@ -31,31 +31,31 @@
 
     balancer: int
     what: str
-    after_ms: float  # since it was sent
-    at_s: float  # of the run
+    after_ms: float  # after it was sent
+    at_s: float  # after the start of the run
 
 
 class RunResult(msgspec.Struct, frozen=True, tag="run"):
-    """The whole run."""
+    """The results of the whole run."""
 
     balancers: int
     seconds: float
     versions: int
     refused: int
     samples: int
-    p50: float  # seconds from acceptance until in force
+    p50: float  # seconds from the publishing of a version until it is in force
     p99: float
-    most: float
-    backwards: int  # times that a balancer served an older version than before
-    starts: int
-    repeated_lines: int
+    most: float  # maximum
+    backwards: int  # number of times that a balancer served an older version than before
+    starts: int  # of balancers
+    repeated_lines: int  # reports of an invalid version beyond the first by one incarnation of a balancer
     requests: int
-    failed: int  # refused ones included
+    failed: int  # including refused ones
     lost: int
-    repeated: int  # unsafe requests that reached servers twice
-    killed_with_balancers: int  # open at hollow balancers that were killed; in no other count
-    bytes_per_s: float  # between a balancer and its agent, both ways
-    cpu_share: float  # of one core, of a balancer without requests
+    repeated: int  # second and later attempts of unsafe requests at servers
+    killed_with_balancers: int  # requests open at hollow balancers when these were killed; in no other count
+    bytes_per_s: float  # between a balancer and its agent, in both directions
+    cpu_share: float  # share of one core that a balancer without requests uses
     problems: list[str]
 
 
@@ -63,10 +63,10 @@
 
 
 def missed_bars(result: RunResult, bar_s: float) -> list[str]:
-    """Each bar that a figure missed, as one line."""
+    """Return a line for each missed bar and each problem of the run."""
     missed = list(result.problems)
     if not result.samples or result.most > bar_s:
-        missed.append(f"a version took {result.most:.3f} s until in force, the bar is {bar_s:g} s")
+        missed.append(f"a version took {result.most:.3f} s until it was in force, the bar is {bar_s:g} s")
     for name in ("backwards", "repeated_lines", "failed", "lost", "repeated"):
         value = getattr(result, name)
         if value:
--- a/emulator/control/scenario.py
+++ b/emulator/control/scenario.py
@@ -1,4 +1,4 @@
-"""The scenario file of `python -m emulator control`: the size of the fleet and what happens, step by step."""
+"""The scenario file of `python -m emulator control`: the size of the fleet and the steps of the run."""
 
 from __future__ import annotations
 
@@ -12,18 +12,19 @@
 from emulator.errors import BadInputError
 
 SCENARIO_FOLDER = Path(__file__).parent / "scenarios"
-FULL_SCENARIO_PATH, QUICK_SCENARIO_PATH = SCENARIO_FOLDER / "full.toml", SCENARIO_FOLDER / "quick.toml"
+FULL_SCENARIO_PATH = SCENARIO_FOLDER / "full.toml"
+QUICK_SCENARIO_PATH = SCENARIO_FOLDER / "quick.toml"
 BASE_SETTINGS_PATH = SCENARIO_FOLDER / "settings.json"
 
 
 class Part(BaseModel):
-    """What all parts of the file have in common: unknown keys are faults."""
+    """Base of all tables of the file: unknown keys are errors."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 class ChangeStep(Part):
-    """Sound changes, published at one machine after another, each in force before the next."""
+    """Publishes valid changes at the given machines in turn, each one after the previous is in force."""
 
     do: Literal["change"]
     count: int = Field(1, ge=1)
@@ -32,7 +33,7 @@
 
 
 class RefusedStep(Part):
-    """Changes that no majority can be found for."""
+    """Publishes valid changes that have to be rejected because the machine finds no majority."""
 
     do: Literal["refused"]
     count: int = Field(1, ge=1)
@@ -40,53 +41,53 @@
 
 
 class InvalidChangeStep(Part):
-    """A change that the control machines turn down."""
+    """Publishes an invalid change that a control machine has to reject."""
 
     do: Literal["bad"]
 
 
 class UncheckedInvalidChangeStep(Part):
-    """A bad change that the control machines let through, so that each balancer turns it down."""
+    """Publishes an invalid change that the control machines do not check: each balancer has to reject it."""
 
     do: Literal["bad_unchecked"]
 
 
 class LoseMachinesStep(Part):
-    """These machines are killed."""
+    """Kills these control machines."""
 
     do: Literal["lose"]
     machines: list[int]
 
 
 class RecoverMachinesStep(Part):
-    """They start again from their logs."""
+    """Starts these control machines again from their logs."""
 
     do: Literal["recover"]
     machines: list[int]
 
 
 class SplitStep(Part):
-    """A region is cut off, with its machine; the regions are numbered as the machines."""
+    """Cuts a region off, with its control machine, which has the same index as the region."""
 
     do: Literal["split"]
     region: int
 
 
 class HealStep(Part):
-    """The split is over."""
+    """Ends the split."""
 
     do: Literal["heal"]
 
 
 class RestartBalancersStep(Part):
-    """Balancers restart, all at once; 0: all of the fleet."""
+    """Restarts this number of balancers at the same time; 0: all of them."""
 
     do: Literal["restart"]
     count: int = Field(0, ge=0)
 
 
 class PauseStep(Part):
-    """Nothing happens."""
+    """Waits."""
 
     do: Literal["pause"]
     seconds: float = Field(gt=0)
@@ -108,7 +109,7 @@
 
 
 class Scenario(Part):
-    """A whole scenario."""
+    """A complete scenario."""
 
     balancers: int = Field(420, ge=2)
     real_balancers: int = Field(8, ge=1)
@@ -122,31 +123,36 @@
     steps: list[ScenarioStep]
 
     @model_validator(mode="after")
-    def check_members(self) -> Scenario:
-        """All numbers name somebody."""
+    def check_references(self) -> Scenario:
+        """Check that there are hollow balancers, and that all machines and regions in the steps exist."""
         if self.real_balancers >= self.balancers:
-            raise ValueError("real_balancers leave no hollow ones")
+            raise ValueError("real_balancers must be less than balancers: there are no hollow ones")
         for n, step in enumerate(self.steps):
-            named = getattr(step, "machines", []) + [getattr(step, "machine", 0), getattr(step, "region", 0)]
-            if not all(0 <= number < self.machines for number in named):
-                raise ValueError(f"steps[{n}] names a machine or region that is none of {self.machines}")
+            referenced = getattr(step, "machines", []) + [
+                getattr(step, "machine", 0),
+                getattr(step, "region", 0),
+            ]
+            if not all(0 <= index < self.machines for index in referenced):
+                raise ValueError(
+                    f"steps[{n}] names a machine or region that does not exist: there are {self.machines}"
+                )
         return self
 
     def balancers_by_region(self) -> list[list[int]]:
-        """The balancers of each region."""
+        """Return the indexes of the balancers of each region."""
         return [list(range(n, self.balancers, self.machines)) for n in range(self.machines)]
 
     def real_balancer_indexes(self) -> list[int]:
-        """The numbers of the real balancers."""
+        """Return the indexes of the real balancers."""
         return list(range(self.real_balancers))
 
     def hollow_balancer_indexes(self, process: int) -> list[int]:
-        """The numbers of the hollow balancers of one process."""
+        """Return the indexes of the hollow balancers of one process."""
         return list(range(self.real_balancers + process, self.balancers, self.hollow_processes))
 
 
 def load_scenario(path: Path) -> Scenario:
-    """The scenario in a file; BadInputError names what is wrong with it."""
+    """Read a scenario file. Raises BadInputError with the reason if it is invalid."""
     try:
         raw = tomllib.loads(path.read_text())
     except (OSError, ValueError) as exc:
@@ -154,37 +160,42 @@
     try:
         return Scenario.model_validate(raw)
     except ValidationError as exc:
-        first = exc.errors()[0]
-        place = ".".join(map(str, first["loc"])) or "scenario"
-        raise BadInputError(f"{path}: {place}: {first['msg']}") from None
+        first_error = exc.errors()[0]
+        location = ".".join(map(str, first_error["loc"])) or "scenario"
+        raise BadInputError(f"{path}: {location}: {first_error['msg']}") from None
 
 
 def base_settings() -> dict[str, Any]:
-    """Version 0: what the configuration files of all balancers hold."""
+    """Return version 0, the content of the configuration files of all balancers."""
     settings: dict[str, Any] = json.loads(BASE_SETTINGS_PATH.read_text())
     return settings
 
 
-def varied_settings(base: dict[str, Any], number: int) -> dict[str, Any]:
-    """Another version: each number changes worths, shares, limits, times, and which classes there are."""
-    factor = 1.0 + number % 5 / 10
+def varied_settings(base: dict[str, Any], variant_number: int) -> dict[str, Any]:
+    """Return a valid variant; `variant_number` determines the worths, quotas, limits, times and classes."""
+    factor = 1.0 + variant_number % 5 / 10
     services = [{**s, "worth": s["worth"] * factor} for s in base["services"]]
-    services.insert(number % 4, {**base["services"][0], "name": f"campaign-{number % 3}"})
+    services.insert(variant_number % 4, {**base["services"][0], "name": f"campaign-{variant_number % 3}"})
     return {
         **base,
-        "balancers": base["balancers"] + number % 7,
+        "balancers": base["balancers"] + variant_number % 7,
         "services": services,
-        "parties": [{**p, "quotaPerS": p["quotaPerS"] * factor} for p in base["parties"]][number % 2 :],
+        "parties": [{**p, "quotaPerS": p["quotaPerS"] * factor} for p in base["parties"]][
+            variant_number % 2 :
+        ],
         "bounds": {
             **base["bounds"],
-            "maxAttempts": 2 + number % 2,
-            "connectTimeoutNs": base["bounds"]["connectTimeoutNs"] + number * 1_000_000,
+            "maxAttempts": 2 + variant_number % 2,
+            "connectTimeoutNs": base["bounds"]["connectTimeoutNs"] + variant_number * 1_000_000,
+        },
+        "obligations": {
+            **base["obligations"],
+            "fallNs": base["obligations"]["fallNs"] * (1 + variant_number % 2),
         },
-        "obligations": {**base["obligations"], "fallNs": base["obligations"]["fallNs"] * (1 + number % 2)},
     }
 
 
 def invalid_settings(base: dict[str, Any]) -> dict[str, Any]:
-    """A version with a fault deep inside."""
+    """Return a variant with an invalid value in a nested object."""
     services = [*base["services"][:-1], {**base["services"][-1], "deadlineNs": "soon"}]
     return {**base, "services": services}
--- a/tests/emulator/test_control_scenario.py
+++ b/tests/emulator/test_control_scenario.py
@@ -86,7 +86,7 @@
         ("steps = [{do = 'lose', machines = [7]}]", "steps[0] names a machine"),
         ("steps = []\nunknown = 1", "unknown"),
         ("steps = [", "cannot read"),
-        ("balancers = 4\nreal_balancers = 4\nsteps = []", "no hollow ones"),
+        ("balancers = 4\nreal_balancers = 4\nsteps = []", "there are no hollow ones"),
     ],
 )
 def test_a_bad_scenario_is_one_line_and_exit_2(text: str, told: str, tmp_path: Path) -> None:
@@ -114,7 +114,7 @@
 
 def make_measures(balancers: int = 3) -> Measures:
     measures = Measures(balancers)
-    measures.accepted_at_ns = {1: 10 * S, 2: 20 * S}
+    measures.published_at_ns = {1: 10 * S, 2: 20 * S}
     return measures
 
 
