--- a/emulator/fleet/clients.py
+++ b/emulator/fleet/clients.py
@@ -22,11 +22,11 @@
     balancer_requests_per_s,
 )
 from emulator.fleet.contract import request_target
-from emulator.fleet.hollow_deadlines import Deadlines
+from emulator.fleet.hollow_timers import TimerQueue
 from emulator.fleet.http_client import ConnectionPool, HttpAnswer, HttpConnection
 from emulator.fleet.latency import LatencyRecorder
 from emulator.fleet.measures import ClientMeasure, RequestCounts
-from emulator.fleet.process import Clock, Fleet, run_child, say
+from emulator.fleet.process import ScenarioClock, FleetContext, run_child, print_message
 from emulator.fleet.settings_for_balancers import tenant_name
 from emulator.fleet.timeline import Event
 
@@ -59,12 +59,12 @@
 class Clients:
     """All clients of the real balancers."""
 
-    def __init__(self, fleet: Fleet) -> None:
+    def __init__(self, fleet: FleetContext) -> None:
         config, scenario, layout = fleet.config, fleet.scenario, fleet.layout
         balancers = scenario.balancers.real
         self.config = config
         self.scenario = scenario
-        self.deadlines = Deadlines()
+        self.deadlines = TimerQueue()
         self.model = ClientModel(scenario, layout, f"{config.seed}/clients")
         self._random = Random(f"{config.seed}/choice of balancer")
         self._rates = [balancer_requests_per_s(scenario, layout, number) for number in range(balancers)]
@@ -82,7 +82,7 @@
     async def listen(self) -> None:
         """Nothing connects to the clients."""
 
-    def start(self, clock: Clock) -> None:
+    def start(self, clock: ScenarioClock) -> None:
         """Begin to ask."""
         start_ns = time.monotonic_ns() - int(clock.now_s() * NS_PER_S)
         for number, rate in enumerate(self._rates):
@@ -235,7 +235,7 @@
             lag=self._lag.take_summary(),
             unsound_answers=unsound,
         )
-        say(measure)
+        print_message(measure)
 
 
 def _request_id(client_try: ClientTry) -> str:
--- a/emulator/fleet/command.py
+++ b/emulator/fleet/command.py
@@ -16,7 +16,7 @@
 from emulator.errors import BadInputError, BarFailedError
 from emulator.fleet.derived_scenario import write_quick_scenario, write_traffic_share
 from emulator.fleet.report import print_summary, write_report
-from emulator.fleet.run_record import DeadChild, RunRecord
+from emulator.fleet.run_record import FailedProcess, RunRecord
 from emulator.fleet.scenario import Scenario, load_scenario
 from emulator.fleet.summary import Summary
 from emulator.fleet.supervisor import Supervisor
@@ -112,8 +112,8 @@
 
 
 def _judge(record: RunRecord, summary: Summary, bars: bool) -> None:
-    if record.dead:
-        raise BarFailedError("; ".join(map(_describe_death, record.dead)))
+    if record.failed_processes:
+        raise BarFailedError("; ".join(map(_describe_death, record.failed_processes)))
     if record.interrupted:
         return  # what was measured until then is no verdict
     missed = [bar for bar in summary.bars if not bar.holds]
@@ -121,7 +121,7 @@
         raise BarFailedError("missed: " + "; ".join(bar.name for bar in missed))
 
 
-def _describe_death(dead: DeadChild) -> str:
+def _describe_death(dead: FailedProcess) -> str:
     text = dead.name if dead.exit_code is None else f"{dead.name} died with exit code {dead.exit_code}"
     if dead.last_lines:
         text += ", its last log lines:\n  " + "\n  ".join(dead.last_lines)
--- a/emulator/fleet/discovery.py
+++ b/emulator/fleet/discovery.py
@@ -14,7 +14,7 @@
 from emulator.fleet.discovery_list import ListSchedule
 from emulator.fleet.discovery_measures import Acknowledgements, DiscoverySecond, DiscoveryTotal, Series
 from emulator.fleet.discovery_transfers import Transfers
-from emulator.fleet.process import Clock, Fleet, run_child, say
+from emulator.fleet.process import ScenarioClock, FleetContext, run_child, print_message
 
 ROLE = "discovery"
 BACKLOG = 64
@@ -23,9 +23,9 @@
 class DiscoveryPart:
     """All agents together: their sockets, their releases and their measures."""
 
-    def __init__(self, fleet: Fleet) -> None:
+    def __init__(self, fleet: FleetContext) -> None:
         self.fleet = fleet
-        self.clock = Clock(0)
+        self.clock = ScenarioClock(0)
         self.releases = DeadlineHeap()
         self.hollow, self.real = Series(), Series()
         self.traffic, self.reported = Traffic(), Traffic()
@@ -74,7 +74,7 @@
                 )
             )
 
-    def start(self, clock: Clock) -> None:
+    def start(self, clock: ScenarioClock) -> None:
         """Release the versions at their times from here on."""
         self.clock = clock
         self.pacemaker = Pacemaker(asyncio.get_running_loop(), clock.now_s, self.releases)
@@ -104,7 +104,7 @@
     def measure(self, at_s: float) -> None:
         """Report one second."""
         now, before = self.traffic, self.reported
-        say(
+        print_message(
             DiscoverySecond(
                 at_s=at_s,
                 calls=now.calls - before.calls,
@@ -123,7 +123,7 @@
     def finish(self) -> None:
         """Report the whole run and close the sockets."""
         traffic = self.traffic
-        say(
+        print_message(
             DiscoveryTotal(
                 at_s=self.clock.now_s(),
                 calls=traffic.calls,
--- a/emulator/fleet/discovery_encoding.py
+++ b/emulator/fleet/discovery_encoding.py
@@ -18,7 +18,7 @@
     merge_versions,
 )
 from emulator.fleet.layout import Layout, instance_id
-from emulator.fleet.settings_for_balancers import host_port
+from emulator.fleet.settings_for_balancers import format_host_port
 
 KEPT_LISTS = 4  # agents of one region are at most a few versions apart
 KEPT_CHANGES = 1024
@@ -37,7 +37,9 @@
         self._layout = layout
         self._kinds = kinds
         self._unix_ms = unix_ms
-        self._host_ports = [host_port(addresses.server_address(place.number)) for place in layout.servers]
+        self._host_ports = [
+            format_host_port(addresses.server_address(place.number)) for place in layout.servers
+        ]
 
     def build(self, entry: ListEntry) -> Instance:
         """One entry in its published form."""
--- a/emulator/fleet/hollow.py
+++ b/emulator/fleet/hollow.py
@@ -35,10 +35,11 @@
 from emulator.fleet.client_model import ClientTry, TryOutcome
 
 RETURN_MARGIN_NS = 5_000_000  # the real driver keeps so much of the client's time for the way back
-CPU_SAMPLE = 16  # the processor time of every 16th call into the module is measured, and counts 16 times
+# The processor time of every 16th call into the module is measured, and counts 16 times.
+CPU_SAMPLE_INTERVAL = 16
 
 
-class ListedServer(Protocol):
+class NumberedEntry(Protocol):
     """One entry of a list, with the number of the stand-in that it names."""
 
     @property
@@ -80,19 +81,19 @@
     def send(self, attempt: HollowAttempt, work_us: int, wait_us: int) -> None:
         """Send it, and set its number."""
 
-    def withdraw(self, attempt: HollowAttempt) -> None:
+    def cancel(self, attempt: HollowAttempt) -> None:
         """Give it up: nothing that comes back for it is wanted any more."""
 
-    def add_deadline(self, at: int, callback: Callable[[int], None]) -> None:
+    def add_timer(self, at: int, callback: Callable[[int], None]) -> None:
         """Call back at that time."""
 
-    def watch(self) -> None:
+    def start_watch(self) -> None:
         """Begin to watch discovery."""
 
-    def answered(
-        self, now: int, client_try: ClientTry, end: TryOutcome, own_us: int, retry_after: int
+    def on_final_answer(
+        self, now: int, client_try: ClientTry, end: TryOutcome, unloaded_us: int, retry_after: int
     ) -> None:
-        """The client has its final answer; `own_us` as in `attempt_ended`."""
+        """The client has its final answer; `unloaded_us` as in `end_attempt`."""
 
 
 @dataclass(slots=True)
@@ -123,14 +124,14 @@
         self.effects = effects
         self.counts = HollowCounts()
         self.stopped = False
-        self._module = Balancer(settings, seed)
+        self._decision_module = Balancer(settings, seed)
         self._open: dict[str, OpenTry] = {}
         self._servers: dict[int, int] = {}  # module's id -> stand-in's number, of those that are ready
         self._named = 0
-        self._calls = seed % CPU_SAMPLE  # since the start: which calls are measured
+        self._calls = seed % CPU_SAMPLE_INTERVAL  # since the start: which calls are measured
 
     @property
-    def open_tries(self) -> int:
+    def open_try_count(self) -> int:
         """How many tries are answered by nobody yet, or have attempts out."""
         return len(self._open)
 
@@ -143,7 +144,7 @@
 
     def start(self, now: int) -> None:
         """Tell the module that it runs."""
-        self._tell(now, self._module.on_start)
+        self._tell(now, self._decision_module.on_start)
 
     def stop(self, now: int) -> list[ClientTry]:
         """Die: nothing more is answered or told. The tries whose clients lose their connection."""
@@ -152,7 +153,7 @@
         for one in self._open.values():
             for attempt in one.attempts:
                 if attempt is not None:
-                    self.effects.withdraw(attempt)
+                    self.effects.cancel(attempt)
         self._open.clear()
         return lost
 
@@ -162,7 +163,7 @@
         name = f"{client_try.request.number}.{client_try.index}/{self._named}"
         deadline = now + max(0, client_try.timeout_ns - RETURN_MARGIN_NS)
         open_try = self._open[name] = OpenTry(name, client_try, now, deadline)
-        self.effects.add_deadline(deadline, partial(self._expire, open_try))
+        self.effects.add_timer(deadline, partial(self._expire, open_try))
         request = Request(
             id=name,
             class_index=client_try.request.class_index,
@@ -170,20 +171,20 @@
             is_retry=client_try.is_retry,
             tenant_index=client_try.request.tenant_index,
         )
-        self._tell(now, self._module.on_request, request)
+        self._tell(now, self._decision_module.on_request, request)
         return name
 
-    def client_gone(self, now: int, name: str) -> bool:
+    def disconnect_client(self, now: int, name: str) -> bool:
         """The client has left without its answer; False if it had one before."""
         open_try = self._open.get(name)
         if open_try is None or open_try.closed:
             return False
         open_try.closed = True
-        self._tell(now, self._module.on_client_gone, name)
+        self._tell(now, self._decision_module.on_client_gone, name)
         self._forget(open_try)
         return True
 
-    def apply_list(self, now: int, kind: ListKind, listed: Sequence[ListedServer]) -> None:
+    def update_server_list(self, now: int, kind: ListKind, listed: Sequence[NumberedEntry]) -> None:
         """Take over a list, or what has changed on it."""
         if kind is not ListKind.DELTA:
             self._servers.clear()
@@ -192,23 +193,25 @@
                 self._servers[one.entry.id] = one.number
             else:
                 self._servers.pop(one.entry.id, None)
-        self._tell(now, self._module.on_list, ServerListUpdate(kind, tuple(one.entry for one in listed)))
+        self._tell(
+            now, self._decision_module.on_list, ServerListUpdate(kind, tuple(one.entry for one in listed))
+        )
 
     def discovery_failed(self, now: int, kind: ListKind) -> None:
         """A call to discovery was refused or broke off."""
-        self._tell(now, self._module.on_list, ServerListUpdate(kind))
+        self._tell(now, self._decision_module.on_list, ServerListUpdate(kind))
 
-    def attempt_ended(
+    def end_attempt(
         self,
         now: int,
         attempt: HollowAttempt,
         outcome: Outcome,
         report: LoadReport | None = None,
-        own_us: int = 0,
+        unloaded_us: int = 0,
     ) -> None:
         """One attempt has its outcome; the first good one answers the client.
 
-        `own_us` is what the attempt would have taken at an idle server, for the client's measures.
+        `unloaded_us` is what the attempt would have taken at an idle server, for the client's measures.
         """
         open_try = attempt.open_try
         if self.stopped or open_try.attempts[attempt.index] is None:
@@ -217,7 +220,7 @@
         open_try.out -= 1
         if outcome is Outcome.OK and not open_try.closed:
             open_try.closed = True
-            self.effects.answered(now, open_try.client_try, TryOutcome.SERVED, own_us, 0)
+            self.effects.on_final_answer(now, open_try.client_try, TryOutcome.SERVED, unloaded_us, 0)
         end = AttemptEnd(
             request_id=open_try.name,
             attempt_index=attempt.index,
@@ -227,7 +230,7 @@
             request_closed=open_try.closed,
             load_report=report,
         )
-        self._tell(now, self._module.on_attempt_end, end)
+        self._tell(now, self._decision_module.on_attempt_end, end)
         self._forget(open_try)
 
     # ---- what the module wants done ----
@@ -237,10 +240,10 @@
             return
         self.counts.calls += 1
         self._calls += 1
-        if self._calls % CPU_SAMPLE == 0:
+        if self._calls % CPU_SAMPLE_INTERVAL == 0:
             before = time.thread_time_ns()
             actions = method(now, *arguments)
-            self.counts.decision_ns += (time.thread_time_ns() - before) * CPU_SAMPLE
+            self.counts.decision_ns += (time.thread_time_ns() - before) * CPU_SAMPLE_INTERVAL
         else:
             actions = method(now, *arguments)
         for action in actions:
@@ -253,7 +256,7 @@
         if isinstance(action, Send):
             self._send(now, action)
         elif isinstance(action, SetTimer):
-            self.effects.add_deadline(action.fire_at, partial(self._timer, action.token))
+            self.effects.add_timer(action.fire_at, partial(self._timer, action.token))
         elif isinstance(action, Cancel):
             self._cancel(now, action)
         elif isinstance(action, Refuse):
@@ -261,10 +264,10 @@
         elif isinstance(action, Fail):
             self._final(now, action.request_id, TryOutcome.FAILED, 0)
         elif isinstance(action, Watch):
-            self.effects.watch()
+            self.effects.start_watch()
 
     def _timer(self, token: str, now: int) -> None:
-        self._tell(now, self._module.on_timer, token)
+        self._tell(now, self._decision_module.on_timer, token)
 
     def _send(self, now: int, action: Send) -> None:
         open_try = self._open[action.request_id]
@@ -278,12 +281,12 @@
         begun_too_late = 0 < action.start_before <= now
         if server is None or open_try.closed or until <= now or begun_too_late:
             self.counts.not_sent += 1
-            self.effects.add_deadline(now, partial(self._end_without_answer, attempt, Outcome.NOT_SENT))
+            self.effects.add_timer(now, partial(self._end_without_answer, attempt, Outcome.NOT_SENT))
             return
         self.counts.attempts += 1
         self.effects.send(attempt, open_try.client_try.request.work_us, (until - now) // 1000)
         if until < open_try.deadline:
-            self.effects.add_deadline(until, partial(self._give_up, attempt, Outcome.TIMEOUT))
+            self.effects.add_timer(until, partial(self._give_up, attempt, Outcome.TIMEOUT))
 
     def _cancel(self, now: int, action: Cancel) -> None:
         open_try = self._open.get(action.request_id)
@@ -292,17 +295,17 @@
         attempt = open_try.attempts[action.attempt_index]
         if attempt is not None:
             self.counts.cancels += 1
-            self.effects.withdraw(attempt)
+            self.effects.cancel(attempt)
             # Not at once: the module is told of the end only after it has had its say on this event.
-            self.effects.add_deadline(now, partial(self._end_without_answer, attempt, Outcome.CANCELLED))
+            self.effects.add_timer(now, partial(self._end_without_answer, attempt, Outcome.CANCELLED))
 
     def _end_without_answer(self, attempt: HollowAttempt, outcome: Outcome, now: int) -> None:
-        self.attempt_ended(now, attempt, outcome)
+        self.end_attempt(now, attempt, outcome)
 
     def _give_up(self, attempt: HollowAttempt, outcome: Outcome, now: int) -> None:
         if not self.stopped and attempt.open_try.attempts[attempt.index] is not None:
-            self.effects.withdraw(attempt)
-            self.attempt_ended(now, attempt, outcome)
+            self.effects.cancel(attempt)
+            self.end_attempt(now, attempt, outcome)
 
     def _expire(self, open_try: OpenTry, now: int) -> None:
         """The client's time is over: what is out has timed out, and the client is told, whatever follows."""
@@ -313,15 +316,15 @@
                 self._give_up(attempt, Outcome.TIMEOUT, now)
         if not open_try.closed:
             open_try.closed = True
-            self.effects.answered(now, open_try.client_try, TryOutcome.FAILED, 0, 0)
-            self._tell(now, self._module.on_client_gone, open_try.name)
+            self.effects.on_final_answer(now, open_try.client_try, TryOutcome.FAILED, 0, 0)
+            self._tell(now, self._decision_module.on_client_gone, open_try.name)
         self._forget(open_try)
 
     def _final(self, now: int, name: str, end: TryOutcome, retry_after: int) -> None:
         open_try = self._open.get(name)
         if open_try is not None and not open_try.closed:
             open_try.closed = True
-            self.effects.answered(now, open_try.client_try, end, 0, retry_after)
+            self.effects.on_final_answer(now, open_try.client_try, end, 0, retry_after)
             self._forget(open_try)
 
     def _forget(self, open_try: OpenTry) -> None:
--- a/emulator/fleet/hollow_discovery.py
+++ b/emulator/fleet/hollow_discovery.py
@@ -12,34 +12,34 @@
 from dykeshift.node.listing import ListedServer, ListReader
 from emulator.fleet.contract import Address
 
-NO_STAND_IN = -1  # number of an entry that has no address, as it is gone
-LOOPBACK_ROW = 254  # members that share the third byte of their addresses
+NO_SERVER_NUMBER = -1  # number of an entry that has no address, as it is gone
+ADDRESSES_PER_OCTET = 254  # members that share the third byte of their addresses
 
 
 @dataclass(frozen=True, slots=True)
-class ListedStandIn:
+class ListedPhotoServer:
     """One entry of a list, with the number of the stand-in that it names."""
 
     entry: ServerEntry
     number: int
 
 
-def server_number(host: str) -> int:
+def server_number_of(host: str) -> int:
     """Number of the stand-in at a loopback address; the inverse of `contract.loopback`."""
     _, _, high, low = host.split(".")
-    return int(high) * LOOPBACK_ROW + int(low) - 1
+    return int(high) * ADDRESSES_PER_OCTET + int(low) - 1
 
 
-ApplyList = Callable[[int, ListKind, list[ListedStandIn]], None]
+ApplyList = Callable[[int, ListKind, list[ListedPhotoServer]], None]
 DiscoveryFailed = Callable[[int, ListKind], None]
 
 
 def _number_of(listed: ListedServer) -> int:
     host, _, _ = listed.address.rpartition(":")
-    return server_number(host) if host else NO_STAND_IN
+    return server_number_of(host) if host else NO_SERVER_NUMBER
 
 
-class _StoppableDiscovery(DiscoveryWatch):
+class _StoppableWatch(DiscoveryWatch):
     """The real client, but for its end: a balancer that has died does not begin to watch again."""
 
     stopped = False
@@ -70,7 +70,7 @@
     ) -> None:
         self._apply_list = apply_list
         self._failed = failed
-        self._client = _StoppableDiscovery(
+        self._client = _StoppableWatch(
             asyncio.get_running_loop(),
             (agent.host, agent.port),
             ListReader(zones, kinds),
@@ -80,11 +80,11 @@
             drain_grace_s,
         )
 
-    def watch(self) -> None:
+    def start(self) -> None:
         """Begin a watch, unless one is on."""
         self._client.start()
 
-    async def first_call(self) -> None:
+    async def wait_first_call(self) -> None:
         """Wait for the end of the first call, be it with nothing."""
         await self._client.call_finished.wait()
 
@@ -94,7 +94,7 @@
 
     def _applied(self, kind: ListKind, listed: list[ListedServer]) -> bool:
         if not self._client.stopped:
-            named = [ListedStandIn(one.entry, _number_of(one)) for one in listed]
+            named = [ListedPhotoServer(one.entry, _number_of(one)) for one in listed]
             self._apply_list(time.monotonic_ns(), kind, named)
         return True
 
--- a/emulator/fleet/hollow_host.py
+++ b/emulator/fleet/hollow_host.py
@@ -12,30 +12,30 @@
 from dykeshift.interface import ListKind, Settings
 from emulator.fleet.client_model import NS_PER_S, ClientModel, ClientTry, RequestOutcome, TryOutcome
 from emulator.fleet.contract import Address
-from emulator.fleet.hollow_deadlines import Deadlines
+from emulator.fleet.hollow_timers import TimerQueue
 from emulator.fleet.hollow import HollowAttempt, HollowBalancer, HollowCounts
-from emulator.fleet.hollow_discovery import DiscoveryClient, ListedStandIn
+from emulator.fleet.hollow_discovery import DiscoveryClient, ListedPhotoServer
 from emulator.fleet.hollow_measuring import HollowMeter
-from emulator.fleet.hollow_shards import ShardLinks
+from emulator.fleet.hollow_shards import ShardConnections
 from emulator.fleet.tenant_quota import TokenBucket
 
 READY_TIMEOUT_S = 30.0
 
 
-class HostConfig(Protocol):
+class HostContext(Protocol):
     """What all hosts of a worker have in common."""
 
-    deadlines: Deadlines
-    links: ShardLinks
+    timers: TimerQueue
+    shards: ShardConnections
     model: ClientModel
     meter: HollowMeter
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
     drain_grace_s: float
-    answer_slack_ns: int
+    answer_grace_ns: int
     tenant_quotas: list[float]  # one balancer's part, of the tenants that are followed
 
-    def another_host(self) -> HollowHost | None:
+    def pick_running_host(self) -> HollowHost | None:
         """A host that is up, for a client that tries again."""
 
 
@@ -44,7 +44,7 @@
 
     def __init__(
         self,
-        shared: HostConfig,
+        shared: HostContext,
         number: int,
         zone: int,
         agent: Address,
@@ -56,7 +56,7 @@
         self.number = number
         self.zone = zone
         self.balancer: HollowBalancer | None = None
-        self.has_list = asyncio.Event()  # its first list has come, be it before a restart
+        self.first_list_received = asyncio.Event()  # its first list has come, be it before a restart
         self._agent = agent
         self._settings = settings
         self._requests_per_s = requests_per_s
@@ -66,7 +66,7 @@
         self._next_arrival = 0
 
     @property
-    def up(self) -> bool:
+    def is_up(self) -> bool:
         """Whether clients reach it."""
         return self.balancer is not None
 
@@ -85,10 +85,10 @@
             balancer.discovery_failed,
         )
         balancer.start(time.monotonic_ns())
-        discovery.watch()
+        discovery.start()
         try:
             async with asyncio.timeout(READY_TIMEOUT_S):
-                await discovery.first_call()
+                await discovery.wait_first_call()
         finally:
             if self._discovery is discovery:
                 self.balancer = balancer
@@ -96,10 +96,10 @@
                 balancer.stop(time.monotonic_ns())
 
     def _list_came(
-        self, balancer: HollowBalancer, now: int, kind: ListKind, listed: list[ListedStandIn]
+        self, balancer: HollowBalancer, now: int, kind: ListKind, listed: list[ListedPhotoServer]
     ) -> None:
-        balancer.apply_list(now, kind, listed)
-        self.has_list.set()
+        balancer.update_server_list(now, kind, listed)
+        self.first_list_received.set()
 
     def stop(self, now: int) -> HollowCounts:
         """Kill the balancer: its clients lose their connections. What it had counted."""
@@ -115,28 +115,28 @@
 
     # ---- clients ----
 
-    def begin_arrivals(self, at: int) -> None:
+    def start_arrivals(self, at: int) -> None:
         """Let clients come from then on."""
         if self._requests_per_s:
             self._next_arrival = at + self.shared.model.draw_interarrival_ns(self._requests_per_s)
-            self.shared.deadlines.add(self._next_arrival, self._arrive)
+            self.shared.timers.add(self._next_arrival, self._arrive)
 
     def _arrive(self, now: int) -> None:
         due = self._next_arrival
-        if self.shared.meter.arrived(now - due):
+        if self.shared.meter.record_arrival(now - due):
             self._make_first_try(due, now)
         self._next_arrival = due + self.shared.model.draw_interarrival_ns(self._requests_per_s)
-        self.shared.deadlines.add(self._next_arrival, self._arrive)
+        self.shared.timers.add(self._next_arrival, self._arrive)
 
     def _make_first_try(self, due: int, now: int) -> None:
         client_try = self.shared.model.draw_first_try(self.number, due)
         tenant = client_try.request.tenant_index
         if tenant < len(self._quotas):
             within_quota = self._quotas[tenant].consume(due / NS_PER_S) > 0
-            self.shared.meter.count_tenant(tenant, within_quota)
+            self.shared.meter.count_tenant_request(tenant, within_quota)
         self._submit(now, client_try)
 
-    def try_again(self, client_try: ClientTry, now: int) -> None:
+    def retry(self, client_try: ClientTry, now: int) -> None:
         """A client comes from another balancer, or again."""
         self._submit(now, client_try)
 
@@ -149,10 +149,10 @@
         leaves = client_try.request.disconnects_after_ns
         if leaves and client_try.index == 0:
             leave = partial(self._leave, self.balancer, name)
-            self.shared.deadlines.add(client_try.sent_at + leaves, leave)
+            self.shared.timers.add(client_try.sent_at + leaves, leave)
 
     def _leave(self, balancer: HollowBalancer, name: str, now: int) -> None:
-        if balancer.client_gone(now, name):
+        if balancer.disconnect_client(now, name):
             self.shared.meter.counts.count_request_outcome(RequestOutcome.CLIENT_GONE)
 
     def _try_ended(self, now: int, client_try: ClientTry, end: TryOutcome, retry_after_ns: int) -> None:
@@ -164,35 +164,35 @@
             request_outcome = self.shared.model.request_outcome(now, client_try, end)
             self.shared.meter.counts.count_request_outcome(request_outcome)
             return
-        host = self.shared.another_host() or self
-        self.shared.deadlines.add(again.sent_at, partial(host.try_again, again))
+        host = self.shared.pick_running_host() or self
+        self.shared.timers.add(again.sent_at, partial(host.retry, again))
 
     # ---- effects of the balancer ----
 
     def send(self, attempt: HollowAttempt, work_us: int, wait_us: int) -> None:
         """Send it."""
-        self.shared.links.of(attempt).send(attempt, self.number, work_us, wait_us)
+        self.shared.shards.connection_for(attempt).send(attempt, self.number, work_us, wait_us)
 
-    def withdraw(self, attempt: HollowAttempt) -> None:
+    def cancel(self, attempt: HollowAttempt) -> None:
         """Give it up."""
-        self.shared.links.of(attempt).withdraw(attempt)
+        self.shared.shards.connection_for(attempt).cancel(attempt)
 
-    def add_deadline(self, at: int, callback: Callable[[int], None]) -> None:
+    def add_timer(self, at: int, callback: Callable[[int], None]) -> None:
         """Call back at that time."""
-        self.shared.deadlines.add(at, callback)
+        self.shared.timers.add(at, callback)
 
-    def watch(self) -> None:
+    def start_watch(self) -> None:
         """Begin to watch discovery."""
         if self._discovery is not None:
-            self._discovery.watch()
+            self._discovery.start()
 
-    def answered(
-        self, now: int, client_try: ClientTry, end: TryOutcome, own_us: int, retry_after: int
+    def on_final_answer(
+        self, now: int, client_try: ClientTry, end: TryOutcome, unloaded_us: int, retry_after: int
     ) -> None:
         """The client has its final answer, unless it has given up before."""
-        given_up = now > client_try.sent_at + client_try.timeout_ns + self.shared.answer_slack_ns
+        given_up = now > client_try.sent_at + client_try.timeout_ns + self.shared.answer_grace_ns
         if given_up:
             end = TryOutcome.NO_ANSWER
         elif end is TryOutcome.SERVED:
-            self.shared.meter.served((now - client_try.sent_at) // 1000 - own_us)
+            self.shared.meter.record_served((now - client_try.sent_at) // 1000 - unloaded_us)
         self._try_ended(now, client_try, end, retry_after)
--- a/emulator/fleet/hollow_measuring.py
+++ b/emulator/fleet/hollow_measuring.py
@@ -13,7 +13,7 @@
 
     def __init__(self, tenants: int) -> None:
         self.counts = RequestCounts()
-        self.hollow = HollowCounts()  # of balancers that have ended
+        self.balancer_counts = HollowCounts()  # of balancers that have ended
         self._tenants = tenants
         self._added = LatencyRecorder()
         self._lag = LatencyRecorder()
@@ -23,7 +23,7 @@
         self._ready_wait_ms: list[float] = []
         self._bytes_moved = (0, 0)
 
-    def arrived(self, lag_ns: int) -> bool:
+    def record_arrival(self, lag_ns: int) -> bool:
         """A first try is taken so much later than it was due; False: too late to be made at all."""
         self.counts.asked += 1
         self._lag.record_us(lag_ns // 1000)
@@ -31,26 +31,26 @@
         self.counts.missed += missed
         return not missed
 
-    def count_tenant(self, tenant: int, within_quota: bool) -> None:
+    def count_tenant_request(self, tenant: int, within_quota: bool) -> None:
         """It was one of a tenant that is followed."""
         self._tenant_asked[tenant] += 1
         self._tenant_within[tenant] += within_quota
 
-    def served(self, added_us: int) -> None:
+    def record_served(self, added_us: int) -> None:
         """A try was served, with so much added to the server's and the network's time."""
         self._added.record_us(added_us)
 
-    def became_ready(self, took_ms: float, waited_ms: float) -> None:
+    def record_ready(self, took_ms: float, waited_ms: float) -> None:
         """A balancer is up."""
         self._ready_ms.append(round(took_ms, 1))
         self._ready_wait_ms.append(round(waited_ms, 1))
 
-    def take(
+    def take_measure(
         self, at_s: float, index: int, balancers: int, open_tries: int, bytes_moved: tuple[int, int]
     ) -> HollowMeasure:
         """The measure since the last one."""
         counts, self.counts = self.counts, RequestCounts()
-        hollow, self.hollow = self.hollow, HollowCounts()
+        hollow, self.balancer_counts = self.balancer_counts, HollowCounts()
         asked, self._tenant_asked = self._tenant_asked, [0] * self._tenants
         within, self._tenant_within = self._tenant_within, [0] * self._tenants
         ready, self._ready_ms = self._ready_ms, []
--- a/emulator/fleet/hollow_shards.py
+++ b/emulator/fleet/hollow_shards.py
@@ -16,12 +16,12 @@
 ResultReceived = Callable[[HollowAttempt, Result], None]
 
 
-class ShardLink(asyncio.Protocol):
+class ShardConnection(asyncio.Protocol):
     """One connection; what is sent waits until the next flush."""
 
     def __init__(self, received: ResultReceived) -> None:
         self.bytes_sent = self.bytes_received = 0
-        self.lost = False
+        self.is_lost = False
         self._received = received
         self._transport: asyncio.Transport | None = None
         self._buffer = bytearray()
@@ -32,7 +32,7 @@
         self._numbered = 0
 
     @property
-    def pending(self) -> int:
+    def pending_count(self) -> int:
         """Attempts that are out."""
         return len(self._pending)
 
@@ -43,7 +43,7 @@
         self._pending[attempt.number] = attempt
         self._attempts.append(Attempt(attempt.number, attempt.server, work_us, wait_us, balancer))
 
-    def withdraw(self, attempt: HollowAttempt) -> None:
+    def cancel(self, attempt: HollowAttempt) -> None:
         """Queue the cancel of an attempt that is out; its result is not wanted any more."""
         if self._pending.pop(attempt.number, None) is not None:
             self._cancelled.append(attempt.number)
@@ -67,7 +67,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Protocol callback."""
-        self.lost = True
+        self.is_lost = True
 
     def data_received(self, data: bytes) -> None:
         """Protocol callback: hand over each result whose attempt is still wanted."""
@@ -80,21 +80,21 @@
                     self._received(attempt, result)
 
 
-class ShardLinks:
+class ShardConnections:
     """All shards: photo server n is on shard n % shards."""
 
     def __init__(self, received: ResultReceived) -> None:
         self._received = received
-        self._links: list[ShardLink] = []
+        self._links: list[ShardConnection] = []
 
     async def connect(self, ports: tuple[int, ...]) -> None:
         """Open one connection to each shard."""
         loop = asyncio.get_running_loop()
         for port in ports:
-            _, link = await loop.create_connection(lambda: ShardLink(self._received), LOOPBACK, port)
+            _, link = await loop.create_connection(lambda: ShardConnection(self._received), LOOPBACK, port)
             self._links.append(link)
 
-    def of(self, attempt: HollowAttempt) -> ShardLink:
+    def connection_for(self, attempt: HollowAttempt) -> ShardConnection:
         """The link of the attempt's server."""
         return self._links[attempt.server % len(self._links)]
 
@@ -109,9 +109,9 @@
             link.close()
 
     @property
-    def lost(self) -> bool:
+    def is_lost(self) -> bool:
         """Whether any shard has hung up."""
-        return any(link.lost for link in self._links)
+        return any(link.is_lost for link in self._links)
 
     def bytes_moved(self) -> tuple[int, int]:
         """Bytes sent and received since the start."""
--- a/emulator/fleet/hollow_deadlines.py
+++ b/emulator/fleet/hollow_timers.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 from itertools import count
 
-Clock = Callable[[], int]  # nanoseconds, never backwards
+NanosecondClock = Callable[[], int]  # nanoseconds, never backwards
 
 
-class Deadlines:
+class TimerQueue:
     """Calls back what has come due, in order of its time; entries cannot be taken back."""
 
     def __init__(self) -> None:
@@ -23,11 +23,11 @@
         """Call `callback` with the time of the call, once `at` has passed."""
         heapq.heappush(self._entries, (at, next(self._sequence), callback))
 
-    def next_at(self) -> int | None:
+    def next_due_at(self) -> int | None:
         """When the earliest entry comes due; None if there is none."""
         return self._entries[0][0] if self._entries else None
 
-    def run_due(self, clock: Clock, until: int) -> bool:
+    def run_due(self, clock: NanosecondClock, until: int) -> bool:
         """Call what has come due, but no more once it is `until`; whether any is left."""
         entries = self._entries
         now = clock()
--- a/emulator/fleet/hollow_worker.py
+++ b/emulator/fleet/hollow_worker.py
@@ -16,14 +16,14 @@
 from dykeshift.settings import parse_settings
 from emulator.fleet.client_model import NS_PER_S, ClientModel, balancer_requests_per_s
 from emulator.fleet.contract import Result
-from emulator.fleet.hollow_deadlines import Deadlines
+from emulator.fleet.hollow_timers import TimerQueue
 from emulator.fleet.hollow import HollowAttempt
 from emulator.fleet.hollow_host import HollowHost
 from emulator.fleet.hollow_measuring import HollowMeter
-from emulator.fleet.hollow_shards import ShardLinks
-from emulator.fleet.process import Clock, Fleet, run_child, say
+from emulator.fleet.hollow_shards import ShardConnections
+from emulator.fleet.process import ScenarioClock, FleetContext, run_child, print_message
 from emulator.fleet.scenario import Scenario
-from emulator.fleet.settings_for_balancers import settings_object
+from emulator.fleet.settings_for_balancers import build_settings
 from emulator.fleet.tenant_quota import MAX_TRACKED_TENANTS, tracked_tenant_count
 from emulator.fleet.timeline import (
     BalancersStarted,
@@ -34,7 +34,7 @@
 ROLE = "hollow"
 FLUSH_S = 0.002  # between two flushes of the batches
 FIRST_LIST_TIMEOUT_S = 1.0  # for one balancer before the scenario's time 0
-MOST_AT_ONCE_NS = 5_000_000  # for deadlines, before the sockets are looked at again
+MOST_AT_ONCE_NS = 5_000_000  # for timers, before the sockets are looked at again
 STARTS_AT_ONCE = 1  # balancers of this process that start at a time: they share its core
 GC_THRESHOLDS = 200_000, 20, 100  # whole collections walk the lists of all balancers of the process
 
@@ -45,13 +45,13 @@
 class HollowWorker:
     """All hollow balancers of one process."""
 
-    def __init__(self, fleet: Fleet) -> None:
+    def __init__(self, fleet: FleetContext) -> None:
         config, scenario, layout = fleet.config, fleet.scenario, fleet.layout
-        wire = settings_object(scenario, layout, 0)
+        wire = build_settings(scenario, layout, 0)
         settings = parse_settings(wire)
         self.config = config
-        self.deadlines = Deadlines()
-        self.links = ShardLinks(self._result_came)
+        self.timers = TimerQueue()
+        self.shards = ShardConnections(self._result_came)
         self.model = ClientModel(scenario, layout, f"{config.seed}/hollow clients {config.index}")
         self.meter = HollowMeter(tracked_tenant_count(scenario))
         self.zones = layout.zone_names
@@ -59,7 +59,7 @@
         self._layout = layout
         self._reports_in_answers = wire["report"]["how"] == "piggyback"
         self.drain_grace_s = wire["obligations"]["drainGraceNs"] / NS_PER_S
-        self.answer_slack_ns = int(wire["obligations"]["answerSlackNs"])
+        self.answer_grace_ns = int(wire["obligations"]["answerSlackNs"])
         self.tenant_quotas = _split_quotas(settings, scenario)
         self._random = Random(f"{config.seed}/hollow worker {config.index}")
         self._starts = asyncio.Semaphore(STARTS_AT_ONCE)
@@ -79,11 +79,11 @@
         }
         self._hosts = list(self.hosts.values())
 
-    def another_host(self) -> HollowHost | None:
+    def pick_running_host(self) -> HollowHost | None:
         """A host that is up, for a client that tries again."""
         for _ in self._hosts:
             host = self._hosts[int(self._random.random() * len(self._hosts))]
-            if host.up:
+            if host.is_up:
                 return host
         return None
 
@@ -92,18 +92,18 @@
     async def listen(self) -> None:
         """Connect to the photo servers and start all balancers."""
         gc.set_threshold(*GC_THRESHOLDS)
-        await self.links.connect(self.config.addresses.shard_ports)
+        await self.shards.connect(self.config.addresses.shard_ports)
         for host in self._hosts:
             await self._start(host)
             await self._first_list(host)
             self._run_due()
         self._run_task(self._tick())
 
-    def start(self, clock: Clock) -> None:
+    def start(self, clock: ScenarioClock) -> None:
         """Let clients come."""
         start_ns = time.monotonic_ns() - int(clock.now_s() * NS_PER_S)
         for host in self._hosts:
-            host.begin_arrivals(start_ns)
+            host.start_arrivals(start_ns)
 
     def finish(self) -> None:
         """End all balancers."""
@@ -111,22 +111,22 @@
             task.cancel()
         for host in self._hosts:
             host.stop(time.monotonic_ns())
-        self.links.close()
+        self.shards.close()
 
     async def _tick(self) -> None:
         while True:
             busy = self._run_due()
-            self.links.flush()
+            self.shards.flush()
             await asyncio.sleep(0 if busy else FLUSH_S)
 
     def _run_due(self) -> bool:
-        return self.deadlines.run_due(time.monotonic_ns, time.monotonic_ns() + MOST_AT_ONCE_NS)
+        return self.timers.run_due(time.monotonic_ns, time.monotonic_ns() + MOST_AT_ONCE_NS)
 
     async def _first_list(self, host: HollowHost) -> None:
         """Wait for it before the next one starts: the sweeps of those with a list would delay the reading."""
         try:
             async with asyncio.timeout(FIRST_LIST_TIMEOUT_S):
-                await host.has_list.wait()
+                await host.first_list_received.wait()
         except TimeoutError:
             log.warning("no list in time", balancer=host.number)
 
@@ -143,7 +143,7 @@
         match event:
             case BalancersStopped():
                 for host in self._own(event.balancers):
-                    self.meter.hollow.add(host.stop(now))
+                    self.meter.balancer_counts.add(host.stop(now))
             case BalancersStarted():
                 for host in self._own(event.balancers):
                     self._run_task(self._start(host))
@@ -160,7 +160,7 @@
             except TimeoutError:
                 log.warning("not ready in time", balancer=host.number)
             ended = time.monotonic()
-        self.meter.became_ready((ended - began) * 1e3, (began - asked_for) * 1e3)
+        self.meter.record_ready((ended - began) * 1e3, (began - asked_for) * 1e3)
 
     def _result_came(self, attempt: HollowAttempt, result: Result) -> None:
         report = None
@@ -168,8 +168,10 @@
             report = LoadReport(in_flight=result.in_flight, service_ms=result.service_us / 1e3)
         host = attempt.balancer.effects
         assert isinstance(host, HollowHost)
-        own_us = self._own_time_us(host.zone, attempt)
-        attempt.balancer.attempt_ended(time.monotonic_ns(), attempt, Outcome[result.outcome], report, own_us)
+        unloaded_us = self._own_time_us(host.zone, attempt)
+        attempt.balancer.end_attempt(
+            time.monotonic_ns(), attempt, Outcome[result.outcome], report, unloaded_us
+        )
 
     def _own_time_us(self, zone: int, attempt: HollowAttempt) -> int:
         """What the attempt takes on an idle, warm server: its work, and the way there and back."""
@@ -183,10 +185,10 @@
         """Print what happened since the last call."""
         running = [host.balancer for host in self._hosts if host.balancer is not None]
         for balancer in running:
-            self.meter.hollow.add(balancer.take_counts())
-        open_tries = sum(balancer.open_tries for balancer in running)
-        moved = self.links.bytes_moved()
-        say(self.meter.take(at_s, self.config.index, len(running), open_tries, moved))
+            self.meter.balancer_counts.add(balancer.take_counts())
+        open_tries = sum(balancer.open_try_count for balancer in running)
+        moved = self.shards.bytes_moved()
+        print_message(self.meter.take_measure(at_s, self.config.index, len(running), open_tries, moved))
 
 
 def _split_quotas(settings: Settings, scenario: Scenario) -> list[float]:
--- a/emulator/fleet/managed_child.py
+++ b/emulator/fleet/managed_child.py
@@ -14,8 +14,8 @@
 from emulator.fleet.process_logs import ProcessLog
 
 
-LINE_LIMIT = 16 * 1024 * 1024  # bytes of one line of measures
-END_TIMEOUT_S = 5.0  # from the end of its input until it is killed
+MAX_LINE_BYTES = 16 * 1024 * 1024  # bytes of one line of measures
+STOP_TIMEOUT_S = 5.0  # from the end of its input until it is killed
 
 LineReceived = Callable[["ManagedChild", bytes], None]
 
@@ -30,7 +30,7 @@
         self.index = config.index
         self.log = ProcessLog(folder / f"{role}-{config.index}.log")
         self.is_ready = False
-        self.ending = False  # its end is wanted
+        self.is_stopping = False  # its end is wanted
         self.process: asyncio.subprocess.Process | None = None
         self._module = module
         self._config = config
@@ -60,7 +60,7 @@
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
                 stderr=log_file,
-                limit=LINE_LIMIT,
+                limit=MAX_LINE_BYTES,
                 start_new_session=True,
             )
 
@@ -68,7 +68,7 @@
         """Give it its configuration: everything that it connects to is ready."""
         self._write(self._config)
 
-    async def ready(self) -> None:
+    async def wait_ready(self) -> None:
         """Wait for `Ready`; EOFError if the process ends before."""
         assert self.process is not None and self.process.stdout is not None
         line = await self.process.stdout.readline()
@@ -77,20 +77,20 @@
         msgspec.json.decode(line, type=Ready)
         self.is_ready = True
 
-    def begin(self, start: Start) -> None:
+    def send_start(self, start: Start) -> None:
         """Tell the scenario's time 0, and take in measures from now on."""
         self._write(start)
         self._reading = asyncio.create_task(self._read())
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         """End its input, wait for its last lines, kill it if it stays."""
-        self.ending = True
+        self.is_stopping = True
         if self.process is None:
             return
         if self.process.stdin is not None:
             self.process.stdin.close()
         try:
-            async with asyncio.timeout(END_TIMEOUT_S):
+            async with asyncio.timeout(STOP_TIMEOUT_S):
                 if self._reading is not None:
                     await self._reading
                 await self.process.wait()
--- a/emulator/fleet/photo_server_http.py
+++ b/emulator/fleet/photo_server_http.py
@@ -13,7 +13,7 @@
 from dykeshift.interface import Outcome
 from emulator.fleet.contract import Address
 from emulator.fleet.photo_server_group import Attempted, PhotoServerGroup
-from emulator.fleet.settings_for_balancers import REPORT_FIELDS
+from emulator.fleet.settings_for_balancers import LOAD_REPORT_FIELDS
 
 BACKLOG = 128
 DEFAULT_WAIT_S = 4.0  # for a request that does not tell its deadline
@@ -193,7 +193,7 @@
         held_us = int((self._context.now_s() - attempt.sent_s) * 1e6)
         request_id = self._headers[b"x-request-id"]
         body = b'{"served":"%s","server":%d,"held_us":%d}' % (request_id, attempt.server, held_us)
-        in_flight, service_ms = REPORT_FIELDS
+        in_flight, service_ms = LOAD_REPORT_FIELDS
         report = f'{{"{in_flight}":{attempt.in_flight},"{service_ms}":{attempt.service_s * 1e3:.3f}}}'
         head = (
             "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
--- a/emulator/fleet/photo_server_process.py
+++ b/emulator/fleet/photo_server_process.py
@@ -14,7 +14,7 @@
 from emulator.fleet.photo_server_batch import BatchConnection
 from emulator.fleet.photo_server_group import PhotoServerGroup
 from emulator.fleet.photo_server_http import Endpoint, HttpContext
-from emulator.fleet.process import Clock, Fleet, run_child, say
+from emulator.fleet.process import ScenarioClock, FleetContext, run_child, print_message
 
 ROLE = "photo_server"
 BATCH_HOST = "127.0.0.1"
@@ -23,10 +23,10 @@
 class PhotoServerPart:
     """The models of one process, their sockets and their measures."""
 
-    def __init__(self, fleet: Fleet) -> None:
+    def __init__(self, fleet: FleetContext) -> None:
         config, scenario = fleet.config, fleet.scenario
         self.fleet = fleet
-        self.clock = Clock(0)
+        self.clock = ScenarioClock(0)
         self.group = PhotoServerGroup(
             scenario, fleet.layout, fleet.timeline, config.seed, config.index, config.processes
         )
@@ -55,7 +55,7 @@
             )
         )
 
-    def start(self, clock: Clock) -> None:
+    def start(self, clock: ScenarioClock) -> None:
         """Serve deadlines from here on."""
         self.clock = clock
         self.pacemaker = Pacemaker(asyncio.get_running_loop(), clock.now_s, self)
@@ -89,11 +89,11 @@
         """Report one second."""
         for connection in self.batch_connections:
             connection.forget_expired(at_s)
-        say(self.group.second(at_s))
+        print_message(self.group.second(at_s))
 
     def finish(self) -> None:
         """Report the whole run and close the sockets."""
-        say(self.group.total(self.clock.now_s()))
+        print_message(self.group.total(self.clock.now_s()))
         self.close()
 
     def close(self) -> None:
--- a/emulator/fleet/plots.py
+++ b/emulator/fleet/plots.py
@@ -51,7 +51,7 @@
 
 
 def _marked_events(record: RunRecord) -> list[Event]:
-    marked: list[Event] = [event for event in record.events() if isinstance(event, MARKED)]
+    marked: list[Event] = [event for event in record.played_events() if isinstance(event, MARKED)]
     if len(marked) > MOST_MARKS:
         marked = [event for event in marked if _members(event) >= MANY_MEMBERS]
     return marked
@@ -81,7 +81,9 @@
 def _plot_change(record: RunRecord, events: list[Event]) -> None:
     figure = Figure(figsize=(WIDTH_IN, HEIGHT_IN))
     axes = figure.add_subplot()
-    seconds = [line for line in record.stand_ins.get(DISCOVERY_ROLE, []) if line["type"] == "DiscoverySecond"]
+    seconds = [
+        line for line in record.stand_in_measures.get(DISCOVERY_ROLE, []) if line["type"] == "DiscoverySecond"
+    ]
     for kind in ("hollow", "real"):
         told = [line for line in seconds if line[kind]["acknowledged"]]
         for key, style in (("p50_ms", "-"), ("p99_ms", "--"), ("max_ms", ":")):
@@ -117,7 +119,9 @@
 
 def _discovery_bytes(record: RunRecord) -> tuple[list[float], list[float]]:
     """Times, and KB/s between discovery and one balancer."""
-    seconds = [line for line in record.stand_ins.get(DISCOVERY_ROLE, []) if line["type"] == "DiscoverySecond"]
+    seconds = [
+        line for line in record.stand_in_measures.get(DISCOVERY_ROLE, []) if line["type"] == "DiscoverySecond"
+    ]
     total = record.scenario.balancers.total
     moved = [(line["sent_bytes"] + line["received_bytes"]) / 1e3 / total for line in seconds]
     return [line["at_s"] for line in seconds], moved
--- a/emulator/fleet/process.py
+++ b/emulator/fleet/process.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fleet:
+class FleetContext:
     """What a child works out for itself from its configuration."""
 
     config: ProcessConfig
@@ -42,14 +42,14 @@
     timeline: tuple[Event, ...]
 
 
-def load_fleet(config: ProcessConfig) -> Fleet:
+def load_fleet_context(config: ProcessConfig) -> FleetContext:
     """Build the fleet that a configuration describes; BadInputError if its scenario cannot be used."""
     scenario = load_scenario(config.scenario)
     layout = build_layout(scenario, config.seed)
-    return Fleet(config, scenario, layout, build_timeline(scenario, config.seed))
+    return FleetContext(config, scenario, layout, build_timeline(scenario, config.seed))
 
 
-class Clock:
+class ScenarioClock:
     """Seconds since the scenario's start, on the machine's monotonic clock."""
 
     def __init__(self, start_ns: int) -> None:
@@ -66,13 +66,13 @@
         return int(self._unix_start_ns / 1e6 + at_s * 1e3)
 
 
-class Part(Protocol):
+class ChildRole(Protocol):
     """What one kind of child does between its start and its end."""
 
     async def listen(self) -> None:
         """Open everything that others connect to."""
 
-    def start(self, clock: Clock) -> None:
+    def start(self, clock: ScenarioClock) -> None:
         """Begin to act: the scenario's time 0 is known."""
 
     def apply(self, event: Event) -> None:
@@ -85,7 +85,7 @@
         """Report what happened over the whole run, and stop."""
 
 
-def say(message: msgspec.Struct) -> None:
+def print_message(message: msgspec.Struct) -> None:
     """Write one JSON line to standard output."""
     sys.stdout.buffer.write(msgspec.json.encode(message) + b"\n")
     sys.stdout.buffer.flush()
@@ -97,7 +97,7 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        clock: Clock,
+        clock: ScenarioClock,
         timeline: Sequence[Event],
         apply: Callable[[Event], None],
     ) -> None:
@@ -120,7 +120,7 @@
 class _Measurer:
     """Asks for measures once a second of the scenario."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock, part: Part) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, clock: ScenarioClock, part: ChildRole) -> None:
         self._loop = loop
         self._clock = clock
         self._part = part
@@ -140,7 +140,7 @@
         self.schedule()
 
 
-def run_child(role: str, build: Callable[[Fleet], Part]) -> int:
+def run_child(role: str, build: Callable[[FleetContext], ChildRole]) -> int:
     """Run one child process to its end; returns its exit code."""
     structlog.configure(logger_factory=structlog.PrintLoggerFactory(sys.stderr))
     try:
@@ -151,23 +151,23 @@
     return 0
 
 
-async def _run(role: str, build: Callable[[Fleet], Part]) -> None:
+async def _run(role: str, build: Callable[[FleetContext], ChildRole]) -> None:
     loop = asyncio.get_running_loop()
     lines = await _standard_input(loop)
     config = await _read(lines, ProcessConfig)
     if config is None:
         return
-    fleet = load_fleet(config)
+    fleet = load_fleet_context(config)
     part = build(fleet)
     await part.listen()
     gc.collect()
     gc.freeze()  # what lives as long as the process is not walked again by each collection
     gc.set_threshold(*COLLECTION_THRESHOLDS)
-    say(Ready(role, config.index))
+    print_message(Ready(role, config.index))
     start = await _read(lines, Start)
     if start is None:
         return
-    clock = Clock(start.monotonic_ns)
+    clock = ScenarioClock(start.monotonic_ns)
     part.start(clock)
     TimelinePlayer(loop, clock, fleet.timeline, part.apply).play()
     measurer = _Measurer(loop, clock, part)
--- a/emulator/fleet/process_logs.py
+++ b/emulator/fleet/process_logs.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from typing import IO
 
-MOST_BYTES = 8 * 1024 * 1024  # a log that has grown beyond this is emptied
+MAX_LOG_BYTES = 8 * 1024 * 1024  # a log that has grown beyond this is emptied
 TAIL_BYTES = 4096
 TAIL_LINES = 5
 
@@ -27,7 +27,7 @@
         size = self.path.stat().st_size if self.path.exists() else 0
         growth = max(0, size - self._seen)
         self._seen = size
-        if size > MOST_BYTES:
+        if size > MAX_LOG_BYTES:
             self._tail_before = self._read_tail()
             with self.path.open("r+b") as file:
                 file.truncate(0)
--- a/emulator/fleet/process_figures.py
+++ b/emulator/fleet/process_monitor.py
@@ -9,10 +9,10 @@
 from emulator.fleet.measures import ProcessMeasure
 from emulator.fleet.process_logs import ProcessLog
 
-MEGABYTE = 1e6
+BYTES_PER_MB = 1e6
 
 
-class ProcessFigures:
+class ProcessMonitor:
     """Follows one member of a role over all its processes."""
 
     def __init__(self, role: str, index: int, log: ProcessLog | None) -> None:
@@ -23,7 +23,7 @@
         self._cpu_s = 0.0
         self._looked_at = time.monotonic()
 
-    def look(self, at_s: float, pid: int | None) -> ProcessMeasure | None:
+    def measure(self, at_s: float, pid: int | None) -> ProcessMeasure | None:
         """Figures since the last look; None for a process that has just begun or ended."""
         now = time.monotonic()
         passed, self._looked_at = now - self._looked_at, now
@@ -50,6 +50,6 @@
             role=self.role,
             index=self.index,
             cpu_share=(cpu_s - before) / passed,
-            resident_mb=memory.rss / MEGABYTE,
+            resident_mb=memory.rss / BYTES_PER_MB,
             log_bytes_per_s=growth / passed,
         )
--- a/emulator/fleet/real_balancers.py
+++ b/emulator/fleet/real_balancers.py
@@ -17,12 +17,12 @@
 from emulator.fleet.layout import Layout
 from emulator.fleet.process_logs import ProcessLog
 from emulator.fleet.scenario import Scenario
-from emulator.fleet.settings_for_balancers import host_port, node_config
+from emulator.fleet.settings_for_balancers import format_host_port, build_node_config
 
 ROLE = "balancer"
 READY_TIMEOUT_S = 60.0
-READY_PAUSE_S = 0.05  # between two looks whether one is ready
-END_TIMEOUT_S = 10.0
+READY_POLL_INTERVAL_S = 0.05  # between two looks whether one is ready
+STOP_TIMEOUT_S = 10.0
 PR_SET_PDEATHSIG = 1  # of prctl(2)
 
 _libc = ctypes.CDLL(None, use_errno=True)
@@ -62,7 +62,7 @@
         self.address = addresses.balancer_address(number)
         self.log = ProcessLog(folder / f"{ROLE}-{number}.log")
         self.process: asyncio.subprocess.Process | None = None
-        self.ending = False  # its end is wanted
+        self.is_stopping = False  # its end is wanted
         self._agent = addresses.agent_address(number)
         self._config = config
         self._config_path = folder / f"{ROLE}-{number}.json"
@@ -80,11 +80,11 @@
         self._config_path.write_text(json.dumps(config), encoding="utf-8")
         environment = {
             "NODE_NAME": f"n{self.number}",
-            "NODE_LISTEN": host_port(self.address),
-            "NODE_DISCOVERY": host_port(self._agent),
+            "NODE_LISTEN": format_host_port(self.address),
+            "NODE_DISCOVERY": format_host_port(self._agent),
             "NODE_CONFIG": str(self._config_path),
         }
-        self.ending = False
+        self.is_stopping = False
         with self.log.open() as log_file:
             self.process = await start_balancer(
                 environment,
@@ -99,25 +99,25 @@
         try:
             async with asyncio.timeout(READY_TIMEOUT_S):
                 while not await is_ready(self.address):
-                    if self.pid is None and not self.ending:
+                    if self.pid is None and not self.is_stopping:
                         raise NotReadyError(f"{ROLE} {self.number} ended before it was ready")
-                    await asyncio.sleep(READY_PAUSE_S)
+                    await asyncio.sleep(READY_POLL_INTERVAL_S)
         except TimeoutError:
             message = f"{ROLE} {self.number} was not ready within {READY_TIMEOUT_S:g} s"
             raise NotReadyError(message) from None
 
     def stop(self, *, graceful: bool) -> None:
         """SIGTERM or SIGKILL."""
-        self.ending = True
+        self.is_stopping = True
         if self.process is not None and self.pid is not None:
             self.process.send_signal(signal.SIGTERM if graceful else signal.SIGKILL)
 
-    async def ended(self) -> None:
+    async def wait_stopped(self) -> None:
         """Wait until the process has ended; it is killed if it takes too long."""
         if self.process is None:
             return
         try:
-            async with asyncio.timeout(END_TIMEOUT_S):
+            async with asyncio.timeout(STOP_TIMEOUT_S):
                 await self.process.wait()
         except TimeoutError:
             self.stop(graceful=False)
@@ -129,6 +129,8 @@
 ) -> list[RealBalancer]:
     """The real balancers of a scenario, not yet started; numbers 0 to real - 1."""
     return [
-        RealBalancer(number, addresses, partial(node_config, scenario, layout, addresses, number), folder)
+        RealBalancer(
+            number, addresses, partial(build_node_config, scenario, layout, addresses, number), folder
+        )
         for number in range(scenario.balancers.real)
     ]
--- a/emulator/fleet/run_record.py
+++ b/emulator/fleet/run_record.py
@@ -14,11 +14,11 @@
 
 MEASURES_FILE = "measures.jsonl"
 EVENTS_FILE = "events.jsonl"
-OwnMeasure = HollowMeasure | ClientMeasure | ProcessMeasure
+TypedMeasure = HollowMeasure | ClientMeasure | ProcessMeasure
 
 
 @dataclass(frozen=True, slots=True)
-class DeadChild:
+class FailedProcess:
     """A process that ended though nobody wanted it to."""
 
     name: str
@@ -36,14 +36,14 @@
     elapsed_s: float = 0.0  # of the scenario
     starting_s: float = 0.0  # until all were ready
     interrupted: bool = False
-    dead: list[DeadChild] = field(default_factory=list)
+    failed_processes: list[FailedProcess] = field(default_factory=list)
     real_ready_ms: list[float] = field(default_factory=list)  # restarts of real balancers
     hollow: list[HollowMeasure] = field(default_factory=list)
     clients: list[ClientMeasure] = field(default_factory=list)
     processes: list[ProcessMeasure] = field(default_factory=list)
-    stand_ins: dict[str, list[dict[str, Any]]] = field(default_factory=dict)  # by role
+    stand_in_measures: dict[str, list[dict[str, Any]]] = field(default_factory=dict)  # by role
 
-    def add(self, measure: OwnMeasure) -> None:
+    def add(self, measure: TypedMeasure) -> None:
         """Take in one of this half's measures."""
         match measure:
             case HollowMeasure():
@@ -53,7 +53,7 @@
             case ProcessMeasure():
                 self.processes.append(measure)
 
-    def events(self) -> list[Event]:
+    def played_events(self) -> list[Event]:
         """The timeline as far as it has been played."""
         return [
             event
@@ -64,7 +64,7 @@
     def write_events(self) -> None:
         """Write the events as JSON lines; nothing in them depends on the run itself."""
         with (self.folder / EVENTS_FILE).open("wb") as file:
-            file.writelines(msgspec.json.encode(event) + b"\n" for event in self.events())
+            file.writelines(msgspec.json.encode(event) + b"\n" for event in self.played_events())
 
 
 class MeasureLog:
@@ -73,19 +73,19 @@
     def __init__(self, record: RunRecord) -> None:
         self._record = record
         self._file = (record.folder / MEASURES_FILE).open("wb")
-        self._decoder: msgspec.json.Decoder[OwnMeasure] = msgspec.json.Decoder(OwnMeasure)
+        self._decoder: msgspec.json.Decoder[TypedMeasure] = msgspec.json.Decoder(TypedMeasure)
 
-    def take_line(self, role: str, index: int, line: bytes) -> None:
+    def add_line(self, role: str, index: int, line: bytes) -> None:
         """A line that a child has printed; those of the stand-ins get the child's role and index."""
         if role in ("hollow", "clients"):
             self._record.add(self._decoder.decode(line))
             self._file.write(line)
             return
         values = {"kind": role, "index": index} | msgspec.json.decode(line)
-        self._record.stand_ins.setdefault(role, []).append(values)
+        self._record.stand_in_measures.setdefault(role, []).append(values)
         self._file.write(msgspec.json.encode(values) + b"\n")
 
-    def take(self, measure: ProcessMeasure) -> None:
+    def add(self, measure: ProcessMeasure) -> None:
         """A measure of the supervisor's own."""
         self._record.add(measure)
         self._file.write(msgspec.json.encode(measure) + b"\n")
--- a/emulator/fleet/scenario.py
+++ b/emulator/fleet/scenario.py
@@ -285,8 +285,8 @@
     event, key = scenario.events[number], f"events.{number}"
     if event.at_s >= scenario.duration_s:
         yield Fault(f"{key}.at_s", f"{event.at_s:g} is after the end, {scenario.duration_s:g}")
-    elif event.ends_s() > scenario.duration_s:
-        yield Fault(key, f"lasts until {event.ends_s():g}, after the end, {scenario.duration_s:g}")
+    elif event.ends_at_s() > scenario.duration_s:
+        yield Fault(key, f"lasts until {event.ends_at_s():g}, after the end, {scenario.duration_s:g}")
     yield from _place_faults(scenario, event, key)
     if isinstance(event, DrainWave) and event.servers > scenario.servers.count:
         yield Fault(f"{key}.servers", f"is more than servers.count, {scenario.servers.count}")
--- a/emulator/fleet/scenario_events.py
+++ b/emulator/fleet/scenario_events.py
@@ -24,7 +24,7 @@
 
     at_s: NonNegative
 
-    def ends_s(self) -> float:
+    def ends_at_s(self) -> float:
         """When its last effect begins or ends, in seconds from the start."""
         return self.at_s
 
@@ -34,7 +34,7 @@
 
     duration_s: Positive
 
-    def ends_s(self) -> float:
+    def ends_at_s(self) -> float:
         """When it is undone."""
         return self.at_s + self.duration_s
 
@@ -51,7 +51,7 @@
     replace: bool = False  # a new machine takes the place: a new instance id
     zone: str | None = None  # None: in all zones
 
-    def ends_s(self) -> float:
+    def ends_at_s(self) -> float:
         """When the last group starts again."""
         groups = -(-self.servers // self.group)
         return self.at_s + (groups - 1) * self.every_s + self.drain_s + self.down_s
@@ -127,7 +127,7 @@
     down_s: NonNegative = 0.5  # from a stop until the start
     graceful: bool = False  # SIGTERM instead of SIGKILL
 
-    def ends_s(self) -> float:
+    def ends_at_s(self) -> float:
         """When the last one starts."""
         return self.at_s + self.over_s + self.down_s
 
@@ -139,7 +139,7 @@
     count: AtLeastOne
     down_s: NonNegative = 1.0
 
-    def ends_s(self) -> float:
+    def ends_at_s(self) -> float:
         """When they start again."""
         return self.at_s + self.down_s
 
--- a/emulator/fleet/settings_for_balancers.py
+++ b/emulator/fleet/settings_for_balancers.py
@@ -14,19 +14,19 @@
 CONNECT_TIMEOUT_S = 0.12
 KEEPALIVE_S = 15.0  # idle time after which a server closes a connection
 DRAIN_GRACE_S = 0.3
-ANSWER_SLACK_S = 0.008
-ASK_EVERY_S = 10.0
-STEP_S = 0.002
+ANSWER_GRACE_S = 0.008
+MAX_WATCH_INTERVAL_S = 10.0
+MIN_CALL_INTERVAL_S = 0.002
 MAX_ATTEMPTS = 3
 MAX_RETRY_AFTER_S = 2.0
-MOST_HELD = 20_000
+MAX_HELD_REQUESTS = 20_000
 CPU_US_PER_S = 8_000
-REPORT_FIELDS = ("busy_reqs", "svc_ms")
+LOAD_REPORT_FIELDS = ("busy_reqs", "svc_ms")
 
-IDEMPOTENCY_WORDS = {"safe": "pure", "keyed": "token", "unsafe": "side_effect"}
+IDEMPOTENCY_SETTINGS = {"safe": "pure", "keyed": "token", "unsafe": "side_effect"}
 
 
-def settings_object(scenario: Scenario, layout: Layout, balancer: int) -> dict[str, Any]:
+def build_settings(scenario: Scenario, layout: Layout, balancer: int) -> dict[str, Any]:
     """The settings of one balancer, as `dykeshift.settings.parse_settings` reads them."""
     return {
         "az": layout.balancer_zones[balancer],
@@ -41,15 +41,15 @@
         "obligations": _obligations(scenario),
         "overShareWorth": scenario.tenants.over_share_worth,
         "parties": _parties(scenario.tenants, scenario.requests_per_s, layout.tenant_shares),
-        "report": {"fields": list(REPORT_FIELDS), "how": "piggyback"},
+        "report": {"fields": list(LOAD_REPORT_FIELDS), "how": "piggyback"},
         "services": [_service(klass) for klass in scenario.classes],
-        "stepNs": int(STEP_S * NS_PER_S),
+        "stepNs": int(MIN_CALL_INTERVAL_S * NS_PER_S),
         "valueBy": "request",
         "weights": "silent",
     }
 
 
-def node_config(
+def build_node_config(
     scenario: Scenario,
     layout: Layout,
     addresses: AddressPlan,
@@ -60,16 +60,16 @@
     """The document that NODE_CONFIG names for one balancer; `known` is a list in discovery's form."""
     return {
         "name": f"n{balancer}",
-        "listen": host_port(addresses.balancer_address(balancer)),
-        "discovery": host_port(addresses.agent_address(balancer)),
+        "listen": format_host_port(addresses.balancer_address(balancer)),
+        "discovery": format_host_port(addresses.agent_address(balancer)),
         "seed": seed,
         "limits": _limits(scenario.balancers),
         "known": known,
-        "settings": settings_object(scenario, layout, balancer),
+        "settings": build_settings(scenario, layout, balancer),
     }
 
 
-def host_port(address: Address) -> str:
+def format_host_port(address: Address) -> str:
     """An address as discovery and NODE_CONFIG write it."""
     return f"{address.host}:{address.port}"
 
@@ -93,7 +93,7 @@
         "maxAttempts": MAX_ATTEMPTS,
         "maxRetryAfterNs": int(MAX_RETRY_AFTER_S * NS_PER_S),
         "mayTell": False,
-        "mostHeld": MOST_HELD,
+        "mostHeld": MAX_HELD_REQUESTS,
         "multiplex": 1,
         "probes": False,
         "retryAfter": True,
@@ -104,8 +104,8 @@
 def _obligations(scenario: Scenario) -> dict[str, Any]:
     cold = scenario.cold_start
     return {
-        "answerSlackNs": int(ANSWER_SLACK_S * NS_PER_S),
-        "askEveryNs": int(ASK_EVERY_S * NS_PER_S),
+        "answerSlackNs": int(ANSWER_GRACE_S * NS_PER_S),
+        "askEveryNs": int(MAX_WATCH_INTERVAL_S * NS_PER_S),
         "coldFrom": cold.from_share,
         "coldNs": int(cold.warm_s * NS_PER_S),
         "drainGraceNs": int(DRAIN_GRACE_S * NS_PER_S),
@@ -135,7 +135,7 @@
         "deadlineNs": int(klass.deadline_ms * NS_PER_MS),
         "worth": klass.worth,
         "lateShare": 0.0,
-        "idempotency": IDEMPOTENCY_WORDS[klass.idempotency],
+        "idempotency": IDEMPOTENCY_SETTINGS[klass.idempotency],
         "group": klass.scope,
         "windowNs": int(klass.window_ms * NS_PER_MS),
         "stream": False,
--- a/emulator/fleet/stand_in_figures.py
+++ b/emulator/fleet/stand_in_figures.py
@@ -18,7 +18,7 @@
 )
 
 DISCOVERY_ROLE = "discovery"
-SERVERS_ROLE = "photo_servers"
+PHOTO_SERVERS_ROLE = "photo_servers"
 RECOVERY_S = 5.0  # after a disturbance is over
 
 # What begins and ends a time in which discovery can't reach all balancers.
@@ -43,14 +43,14 @@
     pushed_over: float | None  # cold servers that fell over
 
 
-def change_in_force(record: RunRecord) -> ChangeInForce:
+def summarize_changes(record: RunRecord) -> ChangeInForce:
     """Over both kinds of balancers, from discovery's own measures."""
-    lines = record.stand_ins.get(DISCOVERY_ROLE, [])
+    lines = record.stand_in_measures.get(DISCOVERY_ROLE, [])
     seconds = [line for line in lines if line["type"] == "DiscoverySecond"]
     total = next((line for line in lines if line["type"] == "DiscoveryTotal"), None)
     groups = [total[kind] for kind in ("hollow", "real")] if total is not None else []
     groups = [group for group in groups if group["acknowledged"]]
-    spans = _disturbed_spans(record.events())
+    spans = _disturbed_spans(record.played_events())
     calm = [
         line[kind]["p99_ms"] / 1e3
         for line in seconds
@@ -67,18 +67,20 @@
     )
 
 
-def discovery_bytes_per_s(record: RunRecord) -> float | None:
+def mean_discovery_bytes_per_s(record: RunRecord) -> float | None:
     """Bytes between discovery and all balancers in a second, on average."""
-    lines = [line for line in record.stand_ins.get(DISCOVERY_ROLE, []) if line["type"] == "DiscoverySecond"]
+    lines = [
+        line for line in record.stand_in_measures.get(DISCOVERY_ROLE, []) if line["type"] == "DiscoverySecond"
+    ]
     if not lines:
         return None
     moved = sum(line["sent_bytes"] + line["received_bytes"] for line in lines)
     return float(moved) / len(lines)
 
 
-def server_figures(record: RunRecord) -> ServerFigures:
+def summarize_servers(record: RunRecord) -> ServerFigures:
     """Over all shards."""
-    lines = record.stand_ins.get(SERVERS_ROLE, [])
+    lines = record.stand_in_measures.get(PHOTO_SERVERS_ROLE, [])
     if not lines:
         return ServerFigures(pushed_over=None)
     falls = sum(len(line["falls"]) for line in lines if line["type"] == "PhotoServersSecond")
--- a/emulator/fleet/summary.py
+++ b/emulator/fleet/summary.py
@@ -12,14 +12,14 @@
 from emulator.fleet.layout import build_layout
 from emulator.fleet.measures import REQUEST_OUTCOMES, ClientMeasure, HollowMeasure, ProcessMeasure
 from emulator.fleet.run_record import RunRecord
-from emulator.fleet.settings_for_balancers import settings_object
+from emulator.fleet.settings_for_balancers import build_settings
 from emulator.fleet.stand_in_figures import (
     DISCOVERY_ROLE,
     ChangeInForce,
     ServerFigures,
-    change_in_force,
-    discovery_bytes_per_s,
-    server_figures,
+    summarize_changes,
+    mean_discovery_bytes_per_s,
+    summarize_servers,
 )
 from emulator.fleet.tenant_quota import TokenBucket, tracked_tenant_count
 
@@ -130,9 +130,9 @@
     """Work out the figures of a run, be it whole or cut short."""
     hollow, real = _hollow_requests(record), _real_requests(record)
     roles = _roles(record)
-    change = change_in_force(record)
-    servers = server_figures(record)
-    discovery_bytes = discovery_bytes_per_s(record)
+    change = summarize_changes(record)
+    servers = summarize_servers(record)
+    discovery_bytes = mean_discovery_bytes_per_s(record)
     total = record.scenario.balancers.total
     per_balancer = None if discovery_bytes is None else discovery_bytes / total
     return Summary(
@@ -143,7 +143,7 @@
         starting_s=round(record.starting_s, 3),
         time_compression=record.scenario.time_compression,
         interrupted=record.interrupted,
-        dead=[dead.name for dead in record.dead],
+        dead=[dead.name for dead in record.failed_processes],
         notes=_notes(hollow, real),
         change=change,
         hollow=hollow,
@@ -156,7 +156,7 @@
         discovery_bytes_per_s=per_balancer,
         servers=servers,
         unsound_answers=sum(measure.unsound_answers for measure in record.clients),
-        bars=_bars(change, roles, per_balancer, real, servers, len(record.dead)),
+        bars=_bars(change, roles, per_balancer, real, servers, len(record.failed_processes)),
     )
 
 
@@ -242,7 +242,7 @@
 def _within_fleet(record: RunRecord) -> int:
     """What shares kept over all hollow balancers would let in, to a second's accuracy."""
     layout = build_layout(record.scenario, record.seed)
-    settings = settings_object(record.scenario, layout, 0)
+    settings = build_settings(record.scenario, layout, 0)
     total = record.scenario.balancers.total
     hollow_part = (total - record.scenario.balancers.real) / total
     quotas = [party["quotaPerS"] * hollow_part for party in settings["parties"]]
@@ -281,7 +281,7 @@
         by_role[measure.role].append(measure)
     network = {
         HOLLOW_ROLE: _hollow_bytes_per_s(record.hollow),
-        DISCOVERY_ROLE: discovery_bytes_per_s(record),
+        DISCOVERY_ROLE: mean_discovery_bytes_per_s(record),
     }
     return {role: _role(own, network.get(role)) for role, own in by_role.items()}
 
--- a/emulator/fleet/supervisor.py
+++ b/emulator/fleet/supervisor.py
@@ -13,19 +13,19 @@
 from emulator.fleet.contract import AddressPlan, ProcessConfig, Start
 from emulator.fleet.layout import build_layout
 from emulator.fleet.managed_child import ManagedChild
-from emulator.fleet.process_figures import ProcessFigures
+from emulator.fleet.process_monitor import ProcessMonitor
 from emulator.fleet.real_balancers import ROLE as BALANCER_ROLE
 from emulator.fleet.real_balancers import NotReadyError, RealBalancer, build_real_balancers
-from emulator.fleet.run_record import DeadChild, MeasureLog, RunRecord
+from emulator.fleet.run_record import FailedProcess, MeasureLog, RunRecord
 from emulator.fleet.scenario import Scenario
 from emulator.fleet.timeline import BalancersStarted, BalancersStopped, Event, build_timeline
 from emulator.free_ports import find_free_ports
 
-SHARDS = 2
+SHARD_COUNT = 2
 START_DELAY_S = 0.5  # from the last `Ready` to the scenario's time 0
 START_TIMEOUT_S = 240.0  # until all are ready
-LOOK_S = 0.1  # between two looks whether a child has died
-MEASURE_S = 1.0
+FAILURE_POLL_INTERVAL_S = 0.1  # between two looks whether a child has died
+MEASURE_INTERVAL_S = 1.0
 
 Progress = Callable[[str, float], None]  # phase, seconds of the scenario
 
@@ -49,12 +49,12 @@
         self._stop = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
         self._path = path.resolve()
-        self._addresses = _choose_addresses(SHARDS)
+        self._addresses = _choose_addresses(SHARD_COUNT)
         layout = build_layout(scenario, record.seed)
         self._balancers = build_real_balancers(scenario, layout, self._addresses, self._logs)
         self._children: list[ManagedChild] = []
-        self._figures = [ProcessFigures("supervisor", 0, None)]
-        self._looked_up: list[Callable[[], int | None]] = [os.getpid]
+        self._monitors = [ProcessMonitor("supervisor", 0, None)]
+        self._pid_getters: list[Callable[[], int | None]] = [os.getpid]
 
     async def run(self) -> None:
         """Run the scenario; whatever happens, everything that was started is ended."""
@@ -92,10 +92,11 @@
             try:
                 starting.result()
             except (NotReadyError, EOFError, OSError) as error:
-                await asyncio.sleep(LOOK_S)  # a child that has died is named by its own exit code
+                # A child that has died is named by its own exit code.
+                await asyncio.sleep(FAILURE_POLL_INTERVAL_S)
                 self._note_deaths()
-                if not self.record.dead:
-                    self.record.dead.append(DeadChild(str(error), None, ()))
+                if not self.record.failed_processes:
+                    self.record.failed_processes.append(FailedProcess(str(error), None, ()))
                 return False
             return True
         for task in (starting, watch):
@@ -103,15 +104,17 @@
         await asyncio.gather(starting, watch, return_exceptions=True)
         if not done:
             late = [child.name for child in self._children if not child.is_ready]
-            self.record.dead.append(DeadChild(f"not ready in time: {', '.join(late)}", None, ()))
+            self.record.failed_processes.append(
+                FailedProcess(f"not ready in time: {', '.join(late)}", None, ())
+            )
         return False
 
     async def _start_in_order(self) -> None:
         """Processes load side by side, and are configured in the order of who connects to whom."""
         stand_ins = [self._child("discovery", "emulator.fleet.discovery", 0, 1)]
         stand_ins += [
-            self._child("photo_servers", "emulator.fleet.photo_server_process", index, SHARDS)
-            for index in range(SHARDS)
+            self._child("photo_servers", "emulator.fleet.photo_server_process", index, SHARD_COUNT)
+            for index in range(SHARD_COUNT)
         ]
         workers = self._count_workers()
         hollow = [
@@ -149,28 +152,28 @@
 
     def _follow(self, role: str, member: ManagedChild | RealBalancer) -> None:
         index = member.index if isinstance(member, ManagedChild) else member.number
-        self._figures.append(ProcessFigures(role, index, member.log))
-        self._looked_up.append(lambda: member.pid)
+        self._monitors.append(ProcessMonitor(role, index, member.log))
+        self._pid_getters.append(lambda: member.pid)
 
     async def _make_ready(self, phase: str, children: list[ManagedChild]) -> None:
         self._progress(phase, 0.0)
         for child in children:
             child.configure()
         for child in children:
-            await child.ready()
+            await child.wait_ready()
 
     def _line_came(self, child: ManagedChild, line: bytes) -> None:
-        self._measures.take_line(child.role, child.index, line)
+        self._measures.add_line(child.role, child.index, line)
 
     # ---- run ----
 
     async def _play(self) -> None:
         start = Start(time.monotonic_ns() + int(START_DELAY_S * 1e9))
         for child in self._children:
-            child.begin(start)
+            child.send_start(start)
         timeline = build_timeline(self.scenario, self.record.seed)
         self._run_task(self._play_events(start, timeline))
-        end_s, next_s = self.scenario.duration_s, MEASURE_S
+        end_s, next_s = self.scenario.duration_s, MEASURE_INTERVAL_S
         while not self._stop.is_set() and self.record.elapsed_s < end_s:
             wait_s = min(next_s, end_s) - _since(start)
             try:
@@ -181,7 +184,7 @@
             self.record.elapsed_s = min(_since(start), end_s)
             if _since(start) >= next_s:
                 self._measure(_since(start))
-                next_s += MEASURE_S
+                next_s += MEASURE_INTERVAL_S
             self._progress("running", self.record.elapsed_s)
 
     async def _play_events(self, start: Start, timeline: tuple[Event, ...]) -> None:
@@ -198,22 +201,24 @@
         return [balancer for balancer in self._balancers if balancer.number in balancers]
 
     async def _restart(self, balancer: RealBalancer) -> None:
-        await balancer.ended()
+        await balancer.wait_stopped()
         began = time.monotonic()
         await balancer.start(self._random)
         try:
             await balancer.wait_ready()
         except NotReadyError as error:
-            self.record.dead.append(DeadChild(str(error), None, tuple(balancer.log.last_lines())))
+            self.record.failed_processes.append(
+                FailedProcess(str(error), None, tuple(balancer.log.last_lines()))
+            )
             self._stop.set()
             return
         self.record.real_ready_ms.append(round((time.monotonic() - began) * 1e3, 1))
 
     def _measure(self, at_s: float) -> None:
-        for figures, pid in zip(self._figures, self._looked_up, strict=True):
-            measure = figures.look(at_s, pid())
+        for monitor, pid in zip(self._monitors, self._pid_getters, strict=True):
+            measure = monitor.measure(at_s, pid())
             if measure is not None:
-                self._measures.take(measure)
+                self._measures.add(measure)
 
     def _run_task(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.create_task(work)
@@ -224,22 +229,22 @@
 
     async def _watch_children(self) -> None:
         while not self._note_deaths():
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(FAILURE_POLL_INTERVAL_S)
         self._stop.set()
 
     def _note_deaths(self) -> bool:
         for child in self._children:
-            if child.process is not None and child.pid is None and not child.ending:
+            if child.process is not None and child.pid is None and not child.is_stopping:
                 self._note_death(child.name, child.process.returncode, child.log.last_lines())
         for balancer in self._balancers:
-            if balancer.process is not None and balancer.pid is None and not balancer.ending:
+            if balancer.process is not None and balancer.pid is None and not balancer.is_stopping:
                 name = f"{BALANCER_ROLE} {balancer.number}"
                 self._note_death(name, balancer.process.returncode, balancer.log.last_lines())
-        return bool(self.record.dead)
+        return bool(self.record.failed_processes)
 
     def _note_death(self, name: str, exit_code: int | None, lines: list[str]) -> None:
-        if name not in {dead.name for dead in self.record.dead}:
-            self.record.dead.append(DeadChild(name, exit_code, tuple(lines)))
+        if name not in {dead.name for dead in self.record.failed_processes}:
+            self.record.failed_processes.append(FailedProcess(name, exit_code, tuple(lines)))
 
     # ---- end ----
 
@@ -254,10 +259,10 @@
             if role == BALANCER_ROLE:
                 for balancer in self._balancers:
                     balancer.stop(graceful=False)
-                await asyncio.gather(*(balancer.ended() for balancer in self._balancers))
+                await asyncio.gather(*(balancer.wait_stopped() for balancer in self._balancers))
             else:
                 children = [child for child in self._children if child.role == role]
-                await asyncio.gather(*(child.end() for child in children))
+                await asyncio.gather(*(child.stop() for child in children))
 
 
 def _since(start: Start) -> float:
--- a/emulator/fleet/timeline.py
+++ b/emulator/fleet/timeline.py
@@ -194,7 +194,7 @@
                 self._add_kill_of_real(event, random)
 
     def _add_drain_wave(self, event: scripted.DrainWave, random: Random) -> None:
-        drawn = self._draw_servers(random, event.servers, event.zone, event.at_s, event.ends_s())
+        drawn = self._draw_servers(random, event.servers, event.zone, event.at_s, event.ends_at_s())
         for place, first in enumerate(range(0, len(drawn), event.group)):
             group = tuple(sorted(drawn[first : first + event.group]))
             self._add_restart(
@@ -204,47 +204,47 @@
     def _add_rack_failure(self, event: scripted.RackFailure, random: Random) -> None:
         racks = self.layout.racks_in_zone(self.zones[event.zone])
         rack = random.choice(racks) if event.rack is None else racks[event.rack]
-        self._add_outage(self.layout.servers_in_rack(rack), event.at_s, event.ends_s(), replaced=False)
+        self._add_outage(self.layout.servers_in_rack(rack), event.at_s, event.ends_at_s(), replaced=False)
 
     def _add_zone_failure(self, event: scripted.ZoneFailure) -> None:
         zone = self.zones[event.zone]
-        self._add_outage(self.layout.servers_in_zone(zone), event.at_s, event.ends_s(), replaced=False)
+        self._add_outage(self.layout.servers_in_zone(zone), event.at_s, event.ends_at_s(), replaced=False)
         balancers = tuple(self.layout.balancers_in_zone(zone))
         if event.balancers and balancers:
-            self._add_balancer_restart(balancers, event.at_s, event.ends_s(), graceful=False)
+            self._add_balancer_restart(balancers, event.at_s, event.ends_at_s(), graceful=False)
 
     def _add_region_split(self, event: scripted.RegionSplit) -> None:
         pair = (self.regions[event.regions[0]], self.regions[event.regions[1]])
         self.events.append(RegionsSplit(event.at_s, pair))
-        self.events.append(RegionsHealed(event.ends_s(), pair))
+        self.events.append(RegionsHealed(event.ends_at_s(), pair))
 
     def _add_impairment(self, event: scripted.Slowdown | scripted.Hang, random: Random) -> None:
         candidates = len(self._candidates(event.zone))
         count = round(event.share * candidates)
-        servers = tuple(sorted(self._draw_servers(random, count, event.zone, event.at_s, event.ends_s())))
+        servers = tuple(sorted(self._draw_servers(random, count, event.zone, event.at_s, event.ends_at_s())))
         if isinstance(event, scripted.Slowdown):
             self.events.append(ServersSlowed(event.at_s, servers, event.factor))
         else:
             self.events.append(ServersHung(event.at_s, servers))
-        self.events.append(ServersRecovered(event.ends_s(), servers))
+        self.events.append(ServersRecovered(event.ends_at_s(), servers))
 
     def _add_discovery_outage(self, event: scripted.DiscoveryOutage) -> None:
         everywhere = tuple(range(len(self.layout.region_names)))
         regions = everywhere if event.region is None else (self.regions[event.region],)
         self.events.append(DiscoverySilenced(event.at_s, regions))
-        self.events.append(DiscoveryReturned(event.ends_s(), regions))
+        self.events.append(DiscoveryReturned(event.ends_at_s(), regions))
 
     def _add_silent_watches(self, event: scripted.SilentWatches, random: Random) -> None:
         total = len(self.layout.balancer_zones)
         balancers = tuple(sorted(random.sample(range(total), round(event.share * total))))
         self.events.append(WatchesSilenced(event.at_s, balancers))
-        self.events.append(WatchesReturned(event.ends_s(), balancers))
+        self.events.append(WatchesReturned(event.ends_at_s(), balancers))
 
     def _add_list_changes(self, event: scripted.ListChanges, random: Random) -> None:
         changes = max(1, int(event.duration_s / event.every_s))
         for change in range(changes):
             at_s = event.at_s + change * event.every_s
-            back_s = min(at_s + event.every_s, event.ends_s())
+            back_s = min(at_s + event.every_s, event.ends_at_s())
             drawn = self._draw_servers(random, event.servers, None, at_s, back_s)
             self._add_restart(at_s, tuple(sorted(drawn)), back_s - at_s, 0.0, replaced=False)
 
@@ -252,7 +252,7 @@
         total = len(self.layout.balancer_zones)
         if not event.over_s:
             everyone = tuple(range(total))
-            self._add_balancer_restart(everyone, event.at_s, event.ends_s(), event.graceful)
+            self._add_balancer_restart(everyone, event.at_s, event.ends_at_s(), event.graceful)
             return
         for balancer in range(total):
             stop_s = event.at_s + event.over_s * balancer / total
@@ -260,7 +260,7 @@
 
     def _add_kill_of_real(self, event: scripted.KillRealBalancers, random: Random) -> None:
         chosen = random.sample(range(self.scenario.balancers.real), event.count)
-        self._add_balancer_restart(tuple(sorted(chosen)), event.at_s, event.ends_s(), graceful=False)
+        self._add_balancer_restart(tuple(sorted(chosen)), event.at_s, event.ends_at_s(), graceful=False)
 
     # ---- random events ----
 
--- a/tests/emulator/fleet_fakes.py
+++ b/tests/emulator/fleet_fakes.py
@@ -19,11 +19,11 @@
 from dykeshift.settings import parse_settings
 from emulator.fleet.client_model import ClientModel, ClientTry, TryOutcome
 from emulator.fleet.hollow import HollowAttempt, HollowBalancer
-from emulator.fleet.hollow_deadlines import Deadlines
-from emulator.fleet.hollow_discovery import ListedStandIn
+from emulator.fleet.hollow_timers import TimerQueue
+from emulator.fleet.hollow_discovery import ListedPhotoServer
 from emulator.fleet.layout import build_layout
 from emulator.fleet.scenario import Scenario, load_scenario
-from emulator.fleet.settings_for_balancers import settings_object
+from emulator.fleet.settings_for_balancers import build_settings
 
 MS = 1_000_000
 S = 1000 * MS
@@ -134,11 +134,11 @@
     """Carries out what a hollow balancer decides, on a clock of its own."""
 
     now: int = 100 * S
-    deadlines: Deadlines = field(default_factory=Deadlines)
+    timers: TimerQueue = field(default_factory=TimerQueue)
     sent: list[HollowAttempt] = field(default_factory=list)
-    withdrawn: list[HollowAttempt] = field(default_factory=list)
+    cancelled: list[HollowAttempt] = field(default_factory=list)
     answers: list[Answer] = field(default_factory=list)
-    watches: int = 0
+    watch_count: int = 0
     serve: Callable[[HollowAttempt], tuple[int, Outcome] | None] = lambda attempt: (5 * MS, Outcome.OK)
 
     def send(self, attempt: HollowAttempt, work_us: int, wait_us: int) -> None:
@@ -149,26 +149,26 @@
         served = self.serve(attempt)
         if served is not None:
             after, outcome = served
-            self.deadlines.add(self.now + after, lambda now: self._deliver(now, attempt, outcome))
+            self.timers.add(self.now + after, lambda now: self._deliver(now, attempt, outcome))
 
     def _deliver(self, now: int, attempt: HollowAttempt, outcome: Outcome) -> None:
-        if attempt not in self.withdrawn:
-            attempt.balancer.attempt_ended(now, attempt, outcome)
+        if attempt not in self.cancelled:
+            attempt.balancer.end_attempt(now, attempt, outcome)
 
-    def withdraw(self, attempt: HollowAttempt) -> None:
+    def cancel(self, attempt: HollowAttempt) -> None:
         """Given up."""
-        self.withdrawn.append(attempt)
+        self.cancelled.append(attempt)
 
-    def add_deadline(self, at: int, callback: Callable[[int], None]) -> None:
+    def add_timer(self, at: int, callback: Callable[[int], None]) -> None:
         """Call back at that time."""
-        self.deadlines.add(at, callback)
+        self.timers.add(at, callback)
 
-    def watch(self) -> None:
+    def start_watch(self) -> None:
         """Counted."""
-        self.watches += 1
+        self.watch_count += 1
 
-    def answered(
-        self, now: int, client_try: ClientTry, end: TryOutcome, own_us: int, retry_after: int
+    def on_final_answer(
+        self, now: int, client_try: ClientTry, end: TryOutcome, unloaded_us: int, retry_after: int
     ) -> None:
         """Noted."""
         self.answers.append(Answer(now, client_try, end))
@@ -176,9 +176,9 @@
     def run_for(self, duration: int) -> None:
         """Let the time pass, from deadline to deadline."""
         end = self.now + duration
-        while (at := self.deadlines.next_at()) is not None and at <= end:
+        while (at := self.timers.next_due_at()) is not None and at <= end:
             self.now = max(self.now, at)
-            self.deadlines.run_due(lambda: self.now, self.now)
+            self.timers.run_due(lambda: self.now, self.now)
         self.now = end
 
 
@@ -187,7 +187,7 @@
 
     def __init__(self, *targets: int) -> None:
         self.targets = targets
-        self.ends: list[AttemptEnd] = []
+        self.attempt_ends: list[AttemptEnd] = []
 
     def on_request(self, now: int, request: Request) -> list[Action]:
         """One attempt at each target."""
@@ -195,7 +195,7 @@
 
     def on_attempt_end(self, now: int, end: AttemptEnd) -> list[Action]:
         """Noted."""
-        self.ends.append(end)
+        self.attempt_ends.append(end)
         return []
 
     def on_client_gone(self, now: int, request_id: str) -> list[Action]:
@@ -210,16 +210,18 @@
 def make_balancer(scenario: Scenario, effects: FakeEffects, servers: int = 12) -> HollowBalancer:
     """A started balancer with a list of ready servers."""
     layout = build_layout(scenario, 1)
-    settings = replace(parse_settings(settings_object(scenario, layout, 0)), balancer_count=1)
+    settings = replace(parse_settings(build_settings(scenario, layout, 0)), balancer_count=1)
     balancer = HollowBalancer(settings, 1, effects)
     balancer.start(effects.now)
-    balancer.apply_list(effects.now, ListKind.FULL, [listed(number) for number in range(servers)])
+    balancer.update_server_list(
+        effects.now, ListKind.FULL, [listed_server(number) for number in range(servers)]
+    )
     return balancer
 
 
-def listed(number: int, state: ServerState = ServerState.READY) -> ListedStandIn:
+def listed_server(number: int, state: ServerState = ServerState.READY) -> ListedPhotoServer:
     """A list entry whose id differs from the stand-in's number."""
-    return ListedStandIn(ServerEntry(1000 + number, number % 2, 0, 0, state, 1.0, 0), number)
+    return ListedPhotoServer(ServerEntry(1000 + number, number % 2, 0, 0, state, 1.0, 0), number)
 
 
 def make_model(scenario: Scenario) -> ClientModel:
--- a/tests/emulator/test_fleet_hollow.py
+++ b/tests/emulator/test_fleet_hollow.py
@@ -11,7 +11,7 @@
 from emulator.fleet.client_model import NS_PER_MS, RequestOutcome, TryOutcome
 from emulator.fleet.contract import loopback_address
 from emulator.fleet.hollow import HollowAttempt, HollowBalancer
-from emulator.fleet.hollow_discovery import server_number
+from emulator.fleet.hollow_discovery import server_number_of
 from emulator.fleet.hollow_measuring import HollowMeter
 from emulator.fleet.latency import LatencyRecorder, merge_summaries
 from emulator.fleet.derived_scenario import write_quick_scenario
@@ -23,7 +23,7 @@
     S,
     FakeEffects,
     ScriptedModule,
-    listed,
+    listed_server,
     make_balancer,
     make_model,
     small_scenario,
@@ -62,7 +62,7 @@
         answer.at <= answer.client_try.sent_at + answer.client_try.timeout_ns for answer in effects.answers
     )
     assert {answer.end for answer in effects.answers} >= {TryOutcome.SERVED}
-    assert balancer.open_tries == 0, "attempts that nobody waits for are forgotten"
+    assert balancer.open_try_count == 0, "attempts that nobody waits for are forgotten"
     assert balancer.take_counts().attempts == len(effects.sent)
 
 
@@ -71,18 +71,18 @@
     balancer = make_balancer(scenario, effects)
     name = balancer.submit(effects.now, make_model(scenario).draw_first_try(0, effects.now))
     effects.run_for(5 * MS)
-    assert balancer.client_gone(effects.now, name)
-    assert not balancer.client_gone(effects.now, name)
+    assert balancer.disconnect_client(effects.now, name)
+    assert not balancer.disconnect_client(effects.now, name)
     effects.run_for(S)
     assert not effects.answers
-    assert set(map(id, effects.withdrawn)) == set(map(id, effects.sent)), "what was out is cancelled"
+    assert set(map(id, effects.cancelled)) == set(map(id, effects.sent)), "what was out is cancelled"
 
 
 def test_nothing_is_sent_to_a_server_that_drains_or_is_gone(scenario: Scenario) -> None:
     effects, model = FakeEffects(), make_model(scenario)
     balancer = make_balancer(scenario, effects)
-    changed = [listed(n, ServerState.DRAINING if n % 2 else ServerState.GONE) for n in range(4)]
-    balancer.apply_list(effects.now, ListKind.DELTA, changed)
+    changed = [listed_server(n, ServerState.DRAINING if n % 2 else ServerState.GONE) for n in range(4)]
+    balancer.update_server_list(effects.now, ListKind.DELTA, changed)
     for _ in range(200):
         balancer.submit(effects.now, model.draw_first_try(0, effects.now))
         effects.run_for(4 * MS)
@@ -93,7 +93,7 @@
 
 def script(monkeypatch: pytest.MonkeyPatch, balancer: HollowBalancer, *targets: int) -> ScriptedModule:
     module = ScriptedModule(*targets)
-    monkeypatch.setattr(balancer, "_module", module)
+    monkeypatch.setattr(balancer, "_decision_module", module)
     return module
 
 
@@ -119,7 +119,7 @@
     balancer.submit(effects.now, make_model(scenario).draw_first_try(0, effects.now))
     effects.run_for(S)
     assert [answer.end for answer in effects.answers] == [TryOutcome.SERVED]
-    assert [(end.outcome, end.request_closed) for end in module.ends] == [(Outcome.OK, True)] * 2
+    assert [(end.outcome, end.request_closed) for end in module.attempt_ends] == [(Outcome.OK, True)] * 2
 
 
 def test_what_is_sent_to_a_server_not_on_the_list_ends_as_not_sent(
@@ -127,12 +127,14 @@
 ) -> None:
     effects = FakeEffects()
     balancer = make_balancer(scenario, effects)
-    balancer.apply_list(effects.now, ListKind.DELTA, [listed(3, ServerState.DRAINING)])
+    balancer.update_server_list(effects.now, ListKind.DELTA, [listed_server(3, ServerState.DRAINING)])
     module = script(monkeypatch, balancer, 1003, 4711)
     balancer.submit(effects.now, make_model(scenario).draw_first_try(0, effects.now))
     effects.run_for(5 * MS)
     assert not effects.sent
-    assert [(end.outcome, end.request_closed) for end in module.ends] == [(Outcome.NOT_SENT, False)] * 2
+    assert [(end.outcome, end.request_closed) for end in module.attempt_ends] == [
+        (Outcome.NOT_SENT, False)
+    ] * 2
 
 
 def test_a_stopped_balancer_returns_its_open_tries_and_stays_silent(scenario: Scenario) -> None:
@@ -172,7 +174,7 @@
 
 
 def test_a_servers_number_is_found_from_its_address() -> None:
-    assert [server_number(loopback_address(64, n, 80).host) for n in (0, 253, 254, 6399)] == [
+    assert [server_number_of(loopback_address(64, n, 80).host) for n in (0, 253, 254, 6399)] == [
         0,
         253,
         254,
@@ -208,6 +210,8 @@
 
 def test_an_arrival_that_is_far_too_late_is_counted_and_not_made() -> None:
     meter = HollowMeter(1)
-    assert meter.arrived(1 * MS) and meter.arrived(200 * MS) and not meter.arrived(300 * MS)
-    counts = meter.take(1.0, 0, 1, 0, (0, 0)).requests
+    assert (
+        meter.record_arrival(1 * MS) and meter.record_arrival(200 * MS) and not meter.record_arrival(300 * MS)
+    )
+    counts = meter.take_measure(1.0, 0, 1, 0, (0, 0)).requests
     assert (counts.asked, counts.missed) == (3, 1)
--- a/tests/emulator/test_standins.py
+++ b/tests/emulator/test_standins.py
@@ -34,7 +34,7 @@
 from emulator.fleet.photo_server import State
 from emulator.fleet.photo_server_group import Attempted, PhotoServerGroup
 from emulator.fleet.photo_server_process import PhotoServerPart
-from emulator.fleet.process import Clock, Fleet, TimelinePlayer
+from emulator.fleet.process import ScenarioClock, FleetContext, TimelinePlayer
 from emulator.fleet.scenario import Scenario, load_scenario
 from emulator.free_ports import find_free_ports
 
@@ -244,17 +244,17 @@
         runner.run(asyncio.wait_for(main, PATIENCE_S))
 
 
-def fleet(given: Scenario, *timeline: events.Event) -> Fleet:
+def fleet(given: Scenario, *timeline: events.Event) -> FleetContext:
     server, agent, balancer, shard = find_free_ports(4)
     addresses = AddressPlan(server, agent, balancer, (shard,))
-    return Fleet(ProcessConfig("", 1, 0, 1, addresses), given, build_layout(given, 1), timeline)
+    return FleetContext(ProcessConfig("", 1, 0, 1, addresses), given, build_layout(given, 1), timeline)
 
 
 @asynccontextmanager
-async def started(part: DiscoveryPart | PhotoServerPart) -> AsyncIterator[Clock]:
+async def started(part: DiscoveryPart | PhotoServerPart) -> AsyncIterator[ScenarioClock]:
     """The part listens, and the timeline plays."""
     await part.listen()
-    clock = Clock(time.monotonic_ns())
+    clock = ScenarioClock(time.monotonic_ns())
     part.start(clock)
     TimelinePlayer(asyncio.get_running_loop(), clock, part.fleet.timeline, part.apply).play()
     try:
--- a/tests/emulator/test_timeline.py
+++ b/tests/emulator/test_timeline.py
@@ -26,9 +26,9 @@
     merge_versions,
 )
 from emulator.fleet.layout import build_layout
-from emulator.fleet.process import Clock
+from emulator.fleet.process import ScenarioClock
 from emulator.fleet.scenario import Scenario, load_scenario
-from emulator.fleet.settings_for_balancers import node_config
+from emulator.fleet.settings_for_balancers import build_node_config
 from emulator.fleet.timeline import build_timeline, timeline_digest
 
 SCENARIOS = Path(__file__).parents[2] / "emulator" / "scenarios"
@@ -118,8 +118,8 @@
     layout = build_layout(quick, 1)
     kinds = [kind.name for kind in quick.servers.kinds]
     known = msgspec.json.decode(msgspec.json.encode(known_list(layout, ADDRESSES, kinds)))
-    parsed = config.parse(json.dumps(node_config(quick, layout, ADDRESSES, 5, "5a", known)))
-    assert parsed.settings == parse_settings(node_config(quick, layout, ADDRESSES, 5, "5a")["settings"])
+    parsed = config.parse(json.dumps(build_node_config(quick, layout, ADDRESSES, 5, "5a", known)))
+    assert parsed.settings == parse_settings(build_node_config(quick, layout, ADDRESSES, 5, "5a")["settings"])
     assert parsed.listen == ("127.66.0.6", 8082) and parsed.discovery == ("127.65.0.6", 8500)
     assert parsed.settings.balancer_index == 5 and parsed.settings.zone == layout.balancer_zones[5]
     assert parsed.settings.cold_capacity_share == quick.cold_start.from_share
@@ -191,7 +191,7 @@
 
 
 def test_a_start_is_told_with_one_time_however_often() -> None:
-    clock = Clock(time.monotonic_ns())
+    clock = ScenarioClock(time.monotonic_ns())
     told = {clock.unix_ms(1.5) for _ in range(20_000)}
     assert len(told) == 1 and abs(told.pop() - time.time() * 1e3 - 1500) < 1000
 
