--- a/tests/emulator/test_control_plane.py
+++ b/tests/emulator/test_control_plane.py
@@ -1,4 +1,4 @@
-"""Control machines: one sequence of versions whatever is lost, cut off or killed between any two writes."""
+"""Control machines agree on one sequence of versions despite lost messages, splits and crashes."""
 
 from __future__ import annotations
 
@@ -30,51 +30,51 @@
 from emulator.control.replica import Outcome, Replica, ReplicaOutput, Verdict
 from emulator.free_ports import find_free_ports
 
-MACHINES = 3
-TICK = 0.02
+MACHINE_COUNT = 3
+TICK_INTERVAL_S = 0.02
 
 
 class CrashError(Exception):
-    """The machine ends here, with nothing more written."""
+    """The machine crashes here; nothing more is written."""
 
 
 @dataclass
-class Faults:
-    """Counts the fault points of all machines and ends one of them at the wanted one."""
+class CrashInjector:
+    """Counts the fault points of all machines and crashes the machine that reaches the given one."""
 
-    crash_at: int = 0  # 0: nowhere
-    reached: int = 0
+    crash_at: int = 0  # number of the fault point, from 1; 0: no crash
+    reached_count: int = 0
 
-    def reach(self, _: str) -> None:
-        self.reached += 1
-        if self.reached == self.crash_at:
+    def on_fault_point(self, _: str) -> None:
+        self.reached_count += 1
+        if self.reached_count == self.crash_at:
             raise CrashError
 
 
 @dataclass
-class Host:
-    """One machine: its log file outlives it."""
+class MachineHost:
+    """One machine with its log file, which survives crashes."""
 
     index: int
     path: Path
-    faults: Faults
+    crash_injector: CrashInjector
     replica: Replica | None = None
     log: DurableLog | None = None
-    synced: int = 0  # bytes of the log that are durable for certain
+    synced_size: int = 0  # bytes of the log that are certainly durable
     down_until: float = 0.0
 
     def start(self) -> None:
-        self.log = DurableLog(self.path, self.faults.reach)
-        self.replica = Replica(self.index, MACHINES, self.log.records, seed=self.index)
+        self.log = DurableLog(self.path, self.crash_injector.on_fault_point)
+        self.replica = Replica(self.index, MACHINE_COUNT, self.log.records, seed=self.index)
 
     def append(self, records: list[Record]) -> None:
         assert self.log is not None
         self.log.append(records)
-        self.synced = self.path.stat().st_size
+        self.synced_size = self.path.stat().st_size
 
     def lose_unsynced(self) -> None:
-        """What a machine that loses its power may lose."""
-        os.truncate(self.path, self.synced)
+        """Remove the bytes that a machine may lose in a power failure."""
+        os.truncate(self.path, self.synced_size)
 
     def stop(self) -> None:
         assert self.log is not None
@@ -84,23 +84,25 @@
 
 @dataclass
 class Cluster:
-    """Three machines, a network that loses and reorders, and one clock."""
+    """Three machines, a network that loses and reorders messages, and a simulated clock."""
 
     folder: Path
     crash_at: int = 0
     lose_unsynced: bool = False
-    loss: float = 0.0
+    message_loss_share: float = 0.0
     seed: int = 1
     now: float = 0.0
-    cut: set[int] = field(default_factory=set)  # machines that no other one reaches
-    network: list[tuple[int, int, Message]] = field(default_factory=list)
+    cut_off_machines: set[int] = field(default_factory=set)  # no messages from or to these
+    messages: list[tuple[int, int, Message]] = field(default_factory=list)  # (sender, receiver, message)
     outcomes: dict[str, Outcome] = field(default_factory=dict)
-    served: dict[int, Change] = field(default_factory=dict)  # whatever any machine ever showed as a version
+    served: dict[int, Change] = field(default_factory=dict)  # by version: what any machine has served as it
 
     def __post_init__(self) -> None:
         self.random = Random(self.seed)
-        self.faults = Faults(self.crash_at)
-        self.hosts = [Host(n, self.folder / f"log{n}", self.faults) for n in range(MACHINES)]
+        self.crash_injector = CrashInjector(self.crash_at)
+        self.hosts = [
+            MachineHost(n, self.folder / f"log{n}", self.crash_injector) for n in range(MACHINE_COUNT)
+        ]
         for host in self.hosts:
             host.start()
 
@@ -109,169 +111,175 @@
         assert replica is not None
         return replica
 
-    def carry_out(self, host: Host, step: ReplicaOutput) -> None:
-        """As a machine does it: the log first, then messages and outcomes."""
+    def execute(self, host: MachineHost, output: ReplicaOutput) -> None:
+        """Process the output as ControlMachine does: the log first, then messages and outcomes."""
         assert host.replica is not None
         try:
-            host.append(step.records)
+            host.append(output.records)
         except CrashError:
             host.stop()
             if self.lose_unsynced:
                 host.lose_unsynced()
             host.down_until = self.now + 0.3
             return
-        self.network += [(host.index, receiver, message) for receiver, message in step.messages]
-        for outcome in step.outcomes:
+        self.messages += [(host.index, receiver, message) for receiver, message in output.messages]
+        for outcome in output.outcomes:
             self.outcomes[outcome.change_id] = outcome
         for version in range(1, host.replica.newest_version + 1):
             change = host.replica.chosen[version]
-            assert self.served.setdefault(version, change) == change, f"version {version} is two things"
+            assert self.served.setdefault(version, change) == change, f"version {version} has two contents"
 
-    def turn(self) -> None:
-        """Deliver what is under way, in any order, then let a little time pass."""
-        messages, self.network = self.network, []
+    def advance(self) -> None:
+        """Deliver all messages in random order, then advance the clock by one tick."""
+        messages, self.messages = self.messages, []
         self.random.shuffle(messages)
         for sender, receiver, message in messages:
             host = self.hosts[receiver]
-            lost = self.random.random() < self.loss or {sender, receiver} & self.cut
-            if host.replica is not None and not lost:
-                self.carry_out(host, host.replica.receive(self.now, sender, message))
-        self.now += TICK
+            is_lost = (
+                self.random.random() < self.message_loss_share or {sender, receiver} & self.cut_off_machines
+            )
+            if host.replica is not None and not is_lost:
+                self.execute(host, host.replica.receive(self.now, sender, message))
+        self.now += TICK_INTERVAL_S
         for host in self.hosts:
             if host.replica is not None:
-                self.carry_out(host, host.replica.tick(self.now))
+                self.execute(host, host.replica.tick(self.now))
             elif self.now >= host.down_until:
                 host.start()
 
     def publish(self, change_id: str, at: int) -> Outcome | None:
-        """The outcome of one submission; None if the machine ended before it told any."""
+        """Submit a change once; return its outcome, or None if the machine crashed before it reported one."""
         host = self.hosts[at]
         self.outcomes.pop(change_id, None)
         if host.replica is None:
             return None
-        self.carry_out(host, host.replica.submit(self.now, Change(change_id, "{}")))
-        until = self.now + 3.0
-        while change_id not in self.outcomes and self.now < until and host.replica is not None:
-            self.turn()
+        self.execute(host, host.replica.submit(self.now, Change(change_id, "{}")))
+        deadline = self.now + 3.0
+        while change_id not in self.outcomes and self.now < deadline and host.replica is not None:
+            self.advance()
         return self.outcomes.get(change_id)
 
     def publish_until_accepted(self, change_id: str, at: int) -> int:
-        """Its version: sent again under its id, at one machine after another, as a publisher does."""
+        """Submit a change at the machines in turn, as a publisher does; return the version it gets."""
         for attempt in range(20):
-            outcome = self.publish(change_id, (at + attempt) % MACHINES)
+            outcome = self.publish(change_id, (at + attempt) % MACHINE_COUNT)
             if outcome is not None and outcome.verdict is Verdict.ACCEPTED:
                 return outcome.version
-            self.turn()
+            self.advance()
         raise AssertionError(f"{change_id} was never accepted")
 
-    def settle(self) -> list[str]:
-        """The one sequence that all machines come to, each started from its log once more."""
-        self.cut, self.loss = set(), 0.0
-        self.faults.crash_at = 0
+    def restart_and_converge(self) -> list[str]:
+        """Restart all machines from their logs and return the sequence on which they agree."""
+        self.cut_off_machines, self.message_loss_share = set(), 0.0
+        self.crash_injector.crash_at = 0
         for host in self.hosts:
             if host.replica is not None:
                 host.stop()
             host.start()
         for _ in range(100):
-            self.turn()
+            self.advance()
         sequences = [
             [host.replica.chosen[v].change_id for v in range(1, host.replica.newest_version + 1)]
             for host in self.hosts
             if host.replica is not None
         ]
-        assert len(sequences) == MACHINES and sequences[0] == sequences[1] == sequences[2]
+        assert len(sequences) == MACHINE_COUNT and sequences[0] == sequences[1] == sequences[2]
         return sequences[0]
 
 
-def check_history(cluster: Cluster, accepted: dict[str, int]) -> None:
-    """No accepted version is lost and none is two things."""
-    sequence = cluster.settle()
-    assert len(set(sequence)) == len(sequence), "a change is in force twice"
+def check_sequence(cluster: Cluster, accepted: dict[str, int]) -> None:
+    """Check that no accepted version is lost or replaced and no change has two versions."""
+    sequence = cluster.restart_and_converge()
+    assert len(set(sequence)) == len(sequence), "a change has two versions"
     for change_id, version in accepted.items():
-        assert sequence[version - 1] == change_id, f"version {version} is not what was accepted"
+        assert sequence[version - 1] == change_id, f"version {version} is not the accepted change"
 
 
 @pytest.mark.parametrize("lose_unsynced", [False, True], ids=["killed", "power lost"])
-def test_a_crash_between_any_two_writes_loses_no_accepted_version(
-    lose_unsynced: bool, tmp_path: Path
-) -> None:
-    """Every fault point of a history in turn: before, within and after each write, and after each sync."""
+def test_crash_at_any_fault_point_keeps_accepted_versions(lose_unsynced: bool, tmp_path: Path) -> None:
+    """The fault points are before, within and after each write, and after each sync of the log."""
 
-    def history(folder: Path, crash_at: int) -> tuple[Cluster, dict[str, int]]:
+    def publish_three(folder: Path, crash_at: int) -> tuple[Cluster, dict[str, int]]:
         folder.mkdir()
         cluster = Cluster(folder, crash_at, lose_unsynced)
         return cluster, {f"c{n}": cluster.publish_until_accepted(f"c{n}", at=n) for n in range(3)}
 
-    whole, accepted = history(tmp_path / "whole", 0)
-    points = whole.faults.reached
-    assert points >= 3 * 4 * MACHINES and sorted(accepted.values()) == [1, 2, 3]
-    for point in range(1, points + 1):
-        cluster, accepted = history(tmp_path / str(point), point)
-        check_history(cluster, accepted)
+    complete, accepted = publish_three(tmp_path / "complete", 0)
+    fault_point_count = complete.crash_injector.reached_count
+    assert fault_point_count >= 3 * 4 * MACHINE_COUNT and sorted(accepted.values()) == [1, 2, 3]
+    for point in range(1, fault_point_count + 1):
+        cluster, accepted = publish_three(tmp_path / str(point), point)
+        check_sequence(cluster, accepted)
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_one_sequence_with_lost_messages_cuts_and_two_publishers(seed: int, tmp_path: Path) -> None:
-    cluster = Cluster(tmp_path, crash_at=seed * 3, loss=0.15, seed=seed)
+def test_machines_agree_on_one_sequence_despite_lost_messages_splits_and_two_publishers(
+    seed: int, tmp_path: Path
+) -> None:
+    """Changes compete for the same version while messages are lost and machines are cut off or crash."""
+    cluster = Cluster(tmp_path, crash_at=seed * 3, message_loss_share=0.15, seed=seed)
     accepted: dict[str, int] = {}
     for n in range(6):
-        cluster.cut = {cluster.random.randrange(MACHINES)} if n % 3 == 1 else set()
-        rival = cluster.hosts[(n + 1) % MACHINES]
-        if rival.replica is not None:  # at the same time as the next one, for the same version
-            cluster.carry_out(rival, rival.replica.submit(cluster.now, Change(f"rival{n}", "{}")))
-        accepted[f"c{n}"] = cluster.publish_until_accepted(f"c{n}", at=n % MACHINES)
+        cluster.cut_off_machines = {cluster.random.randrange(MACHINE_COUNT)} if n % 3 == 1 else set()
+        rival = cluster.hosts[(n + 1) % MACHINE_COUNT]
+        if rival.replica is not None:  # competes with the next change for the same version
+            cluster.execute(rival, rival.replica.submit(cluster.now, Change(f"rival{n}", "{}")))
+        accepted[f"c{n}"] = cluster.publish_until_accepted(f"c{n}", at=n % MACHINE_COUNT)
     for change_id, outcome in cluster.outcomes.items():
         if outcome.verdict is Verdict.ACCEPTED:
             accepted[change_id] = outcome.version
-    turned_down = {i for i, o in cluster.outcomes.items() if o.verdict is Verdict.REJECTED}
-    check_history(cluster, accepted)
-    assert not turned_down & {change.change_id for change in cluster.served.values()}
+    rejected = {i for i, o in cluster.outcomes.items() if o.verdict is Verdict.REJECTED}
+    check_sequence(cluster, accepted)
+    assert not rejected & {change.change_id for change in cluster.served.values()}
 
 
-def test_a_minority_turns_changes_down_and_serves_the_last_version(tmp_path: Path) -> None:
+def test_minority_rejects_changes_and_keeps_its_last_version(tmp_path: Path) -> None:
     cluster = Cluster(tmp_path)
     cluster.publish_until_accepted("before", at=0)
     for _ in range(20):
-        cluster.turn()
-    cluster.cut = {2}
+        cluster.advance()
+    cluster.cut_off_machines = {2}
     outcome = cluster.publish("minority", at=2)
     assert outcome is not None and outcome.verdict is Verdict.REJECTED
     assert outcome.reason == "turned down: 1 of 3 control machines answered, 2 are needed"
     assert cluster.publish_until_accepted("majority", at=0) == 2
     assert cluster.replica(2).newest_version == 1
-    assert cluster.settle() == ["before", "majority"]
+    assert cluster.restart_and_converge() == ["before", "majority"]
 
 
-def test_a_change_that_some_machine_may_have_accepted_is_not_called_turned_down(tmp_path: Path) -> None:
+def test_change_that_a_machine_may_have_accepted_is_not_reported_as_rejected(tmp_path: Path) -> None:
+    """The change is in the log of one machine, so that a later ballot may still choose it."""
     cluster = Cluster(tmp_path)
     host = cluster.hosts[0]
-    cluster.carry_out(host, cluster.replica(0).submit(0.0, Change("x", "{}")))
-    cluster.turn()  # the prepares arrive
-    cluster.turn()  # the promises arrive: its own log has accepted it
-    cluster.cut = {0}
+    cluster.execute(host, cluster.replica(0).submit(0.0, Change("x", "{}")))
+    cluster.advance()  # the Prepare messages arrive
+    cluster.advance()  # the promises arrive: the machine accepts the change in its own log
+    cluster.cut_off_machines = {0}
     while "x" not in cluster.outcomes:
-        cluster.turn()
+        cluster.advance()
     assert cluster.outcomes["x"].verdict is Verdict.UNKNOWN
     again = cluster.publish("x", at=0)
-    assert again is not None and again.verdict is Verdict.UNKNOWN  # the trace is still there
-    cluster.cut = set()
+    assert again is not None and again.verdict is Verdict.UNKNOWN  # it is still accepted in the log
+    cluster.cut_off_machines = set()
     assert cluster.publish_until_accepted("y", at=1) in (1, 2)
     version = cluster.publish_until_accepted("x", at=0)
-    check_history(cluster, {"x": version})
+    check_sequence(cluster, {"x": version})
 
 
-def test_a_change_that_is_sent_again_has_the_same_version(tmp_path: Path) -> None:
+def test_change_that_is_sent_again_keeps_its_version(tmp_path: Path) -> None:
+    """A publisher that sends a change again after an unknown result must not publish it twice."""
     cluster = Cluster(tmp_path)
     first = cluster.publish_until_accepted("x", at=0)
     assert cluster.publish_until_accepted("y", at=1) == 2
     assert cluster.publish_until_accepted("x", at=2) == first
-    check_history(cluster, {"x": 1, "y": 2})
+    check_sequence(cluster, {"x": 1, "y": 2})
 
 
-def test_a_promise_holds_after_a_restart(tmp_path: Path) -> None:
+def test_promise_survives_a_restart(tmp_path: Path) -> None:
+    """A machine that forgot its promise could accept a lower ballot, and two changes could be chosen."""
     cluster = Cluster(tmp_path)
-    cluster.carry_out(cluster.hosts[0], cluster.replica(0).submit(0.0, Change("x", "{}")))
-    cluster.turn()
+    cluster.execute(cluster.hosts[0], cluster.replica(0).submit(0.0, Change("x", "{}")))
+    cluster.advance()
     promised = cluster.replica(1).promised[1]
     cluster.hosts[1].stop()
     cluster.hosts[1].start()
@@ -287,21 +295,21 @@
 ]
 
 
-def test_a_torn_tail_of_any_length_is_cut_off_and_written_over(tmp_path: Path) -> None:
+def test_incomplete_records_of_any_length_are_truncated_and_overwritten(tmp_path: Path) -> None:
     data = b"".join(map(encode_record, RECORDS))
     ends = [len(b"".join(map(encode_record, RECORDS[:n]))) for n in range(4)]
     for length in range(len(data) + 1):
         path = tmp_path / str(length)
         path.write_bytes(data[:length])
         log = DurableLog(path)
-        whole = sum(end <= length for end in ends) - 1
-        assert log.records == RECORDS[:whole]
+        complete_count = sum(end <= length for end in ends) - 1
+        assert log.records == RECORDS[:complete_count]
         log.append([PromiseRecord(9, 9)])
         log.close()
-        assert decode_records(path.read_bytes())[0] == [*RECORDS[:whole], PromiseRecord(9, 9)]
+        assert decode_records(path.read_bytes())[0] == [*RECORDS[:complete_count], PromiseRecord(9, 9)]
 
 
-def test_a_record_that_changed_on_the_disk_is_not_believed(tmp_path: Path) -> None:
+def test_damaged_record_is_discarded(tmp_path: Path) -> None:
     data = bytearray(b"".join(map(encode_record, RECORDS)))
     data[len(encode_record(RECORDS[0])) + 12] ^= 1
     path = tmp_path / "log"
@@ -309,12 +317,12 @@
     assert DurableLog(path).records == RECORDS[:1]
 
 
-def test_what_append_returned_from_is_synced(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    order: list[str] = []
-    log = DurableLog(tmp_path / "log", order.append)
-    monkeypatch.setattr("os.fsync", lambda _: order.append("sync"))
+def test_append_syncs_before_it_returns(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    calls: list[str] = []
+    log = DurableLog(tmp_path / "log", calls.append)
+    monkeypatch.setattr("os.fsync", lambda _: calls.append("sync"))
     log.append(RECORDS)
-    assert order == [
+    assert calls == [
         "before the write",
         "in the middle of the write",
         "before the sync",
@@ -324,45 +332,45 @@
 
 
 class FailingFile:
-    """The file of a log, whose writes, syncs or cuts fail for a while."""
+    """Wraps the file of a log; the operations in `failing` raise OSError."""
 
     def __init__(self, log: DurableLog, monkeypatch: pytest.MonkeyPatch) -> None:
         self.file = log.file
         self.failing: set[str] = set()
         log.file = self  # type: ignore[assignment]
-        sync = os.fsync
+        real_fsync = os.fsync
 
-        def failing_sync(number: int) -> None:
-            self.fail("sync", errno.EIO)
-            sync(number)
+        def failing_sync(descriptor: int) -> None:
+            self.raise_if_failing("sync", errno.EIO)
+            real_fsync(descriptor)
 
         monkeypatch.setattr("os.fsync", failing_sync)
 
-    def fail(self, what: str, number: int) -> None:
-        if what in self.failing:
-            raise OSError(number, os.strerror(number))
+    def raise_if_failing(self, operation: str, error_number: int) -> None:
+        if operation in self.failing:
+            raise OSError(error_number, os.strerror(error_number))
 
     def write(self, data: bytes) -> int:
         if "write" in self.failing:
-            self.file.write(data[: len(data) // 2])  # what there was room for
-        self.fail("write", errno.ENOSPC)
-        return self.file.write(data[:5])  # short writes are no failure
+            self.file.write(data[: len(data) // 2])  # as much as fits on the full disk
+        self.raise_if_failing("write", errno.ENOSPC)
+        return self.file.write(data[:5])  # a short write is not an error
 
     def truncate(self, size: int) -> int:
-        self.fail("cut", errno.EIO)
+        self.raise_if_failing("truncate", errno.EIO)
         return self.file.truncate(size)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.file, name)
 
 
-@pytest.mark.parametrize("failing", [{"write"}, {"sync"}, {"write", "cut"}, {"sync", "cut"}])
-def test_an_append_that_failed_takes_no_later_one_with_it(
+@pytest.mark.parametrize("failing", [{"write"}, {"sync"}, {"write", "truncate"}, {"sync", "truncate"}])
+def test_failed_append_does_not_lose_later_records(
     failing: set[str], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Half a record stayed in the file, and all behind it was taken for torn at the next start.
+    """A failed write used to leave an incomplete record: the next start discarded all records behind it.
 
-    A sync that failed left its records in the file, and the next one came with nothing written anew.
+    A failed sync used to leave its records in the file: the next append synced without writing them again.
     """
     log = DurableLog(tmp_path / "log")
     log.append(RECORDS[:1])
@@ -377,10 +385,10 @@
     assert DurableLog(tmp_path / "log").records == [*RECORDS, PromiseRecord(9, 9)]
 
 
-def test_nothing_is_told_while_the_log_fails_and_all_of_it_once_it_does(
+def test_machine_sends_messages_and_outcomes_only_after_its_log_can_be_written_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The machine's ticks ended with the first failure, in silence; its replica went on without its log."""
+    """The first failed write used to end the ticks silently, while the replica continued without its log."""
 
     async def main() -> None:
         ports = find_free_ports(3)
@@ -395,7 +403,7 @@
         machine.waiting_publishers["x"].append(outcome)
         file = FailingFile(machine.log, monkeypatch)
         file.failing = {"write"}
-        ticking = asyncio.create_task(machine.run_ticks())
+        tick_task = asyncio.create_task(machine.run_ticks())
         accepted = Accepted(1, 4)
         machine.execute(ReplicaOutput(RECORDS[:1], [(1, accepted)], [Outcome("x", Verdict.ACCEPTED, 1)]))
         while machine.failed_write_count < 3:
@@ -404,49 +412,55 @@
         file.failing = set()
         await outcome
         assert sent[0] == accepted and DurableLog(tmp_path / "log").records == RECORDS[:1]
-        ticking.cancel()
+        tick_task.cancel()
 
     asyncio.run(asyncio.wait_for(main(), 20))
 
 
-# ---- what is handed out ----
+# ---- long polls and agents ----
 
 
-def asking(**query: str) -> HttpRequest:
+def settings_request(**query: str) -> HttpRequest:
     return HttpRequest("GET", "/v1/settings", query, {}, b"")
 
 
-def test_an_older_version_is_never_handed_out_after_a_newer_one() -> None:
+def test_older_version_is_not_served_after_a_newer_one() -> None:
     async def main() -> None:
         history = SettingsHistory()
-        assert (await history.respond(asking())).body == b'{"version":0}'
+        assert (await history.respond(settings_request())).body == b'{"version":0}'
         for version in (3, 2):
             history.add(version, f'{{"n":{version}}}')
         for _ in range(2):
-            assert (await history.respond(asking())).body == b'{"version":3,"settings":{"n":3}}'
+            assert (await history.respond(settings_request())).body == b'{"version":3,"settings":{"n":3}}'
             history.add(3, '{"n":"another"}')
-        assert (await history.respond(asking(before="3"))).body == b'{"version":2,"settings":{"n":2}}'
-        assert (await history.respond(asking(before="2"))).body == b'{"version":0}'
+        assert (
+            await history.respond(settings_request(before="3"))
+        ).body == b'{"version":2,"settings":{"n":2}}'
+        assert (await history.respond(settings_request(before="2"))).body == b'{"version":0}'
 
     asyncio.run(main())
 
 
-def test_a_held_call_is_answered_as_soon_as_there_is_a_newer_version() -> None:
+def test_long_poll_returns_as_soon_as_there_is_a_newer_version() -> None:
     async def main() -> None:
         history = SettingsHistory()
         history.add(1, "{}")
-        held = asyncio.ensure_future(history.respond(asking(**{"from": "1", "hold_ms": "60000"})))
+        long_poll = asyncio.ensure_future(
+            history.respond(settings_request(**{"from": "1", "hold_ms": "60000"}))
+        )
         await asyncio.sleep(0)
-        assert not held.done()
+        assert not long_poll.done()
         history.add(2, "{}")
-        assert (await held).body == b'{"version":2,"settings":{}}'
-        assert (await history.respond(asking(**{"from": "2", "hold_ms": "1"}))).body == b'{"version":2}'
+        assert (await long_poll).body == b'{"version":2,"settings":{}}'
+        assert (
+            await history.respond(settings_request(**{"from": "2", "hold_ms": "1"}))
+        ).body == b'{"version":2}'
 
     asyncio.run(main())
 
 
 class StubMachines:
-    """Three addresses of control machines: one answers as its history says, two refuse connections."""
+    """Three control machines: machine 1 serves its history, the other two refuse connections."""
 
     def __init__(self) -> None:
         self.history = SettingsHistory()
@@ -462,7 +476,9 @@
         return AddressPlan(port, 0, 0)
 
 
-def test_an_agent_finds_the_one_machine_left_and_searches_it_for_a_version_that_it_never_had() -> None:
+def test_agent_fetches_versions_that_it_never_had_from_the_only_running_machine() -> None:
+    """Without the older version, a balancer that rejects the newest one could not fall back to it."""
+
     async def main() -> None:
         machines = StubMachines()
         for version in (4, 5):
@@ -471,26 +487,28 @@
         while agent.history.newest_version < 5:
             await asyncio.sleep(0.01)
         assert list(agent.history.settings_by_version) == [5]
-        assert (await agent.handle(asking(before="5"))).body == b'{"version":4,"settings":{"n":4}}'
+        assert (await agent.handle(settings_request(before="5"))).body == b'{"version":4,"settings":{"n":4}}'
         machines.queries.clear()
-        assert (await agent.handle(asking(before="5"))).body == b'{"version":4,"settings":{"n":4}}'
+        assert (await agent.handle(settings_request(before="5"))).body == b'{"version":4,"settings":{"n":4}}'
         assert not any("before" in query for query in machines.queries)
         agent.poll_task.cancel()
 
     asyncio.run(asyncio.wait_for(main(), 30))
 
 
-def test_an_agent_beyond_a_split_hears_nothing_and_keeps_what_it_has() -> None:
+def test_agent_that_is_cut_off_keeps_its_version() -> None:
+    """A response that arrives after the start of the split has to be discarded too."""
+
     async def main() -> None:
         machines = StubMachines()
         machines.history.add(1, "{}")
         agent = SettingsAgent(3, await machines.start(), [1], seed=1)
-        while len(machines.queries) < 2:  # the second call is held: there is nothing newer
+        while len(machines.queries) < 2:  # the second call is a long poll, as there is nothing newer
             await asyncio.sleep(0.01)
         agent.reachable_machines = [0]
-        machines.history.add(2, "{}")  # answers the call that is held there: it is lost on the way
+        machines.history.add(2, "{}")  # ends the long poll, whose response has to be discarded
         machines.queries.clear()
-        assert (await agent.handle(asking(**{"from": "0"}))).body == b'{"version":1,"settings":{}}'
+        assert (await agent.handle(settings_request(**{"from": "0"}))).body == b'{"version":1,"settings":{}}'
         await asyncio.sleep(0.1)
         assert agent.history.newest_version == 1 and not machines.queries
         agent.reachable_machines = [1]
