--- a/emulator/fleet/hollow_discovery.py
+++ b/emulator/fleet/hollow_discovery.py
@@ -1,4 +1,7 @@
-"""The real discovery client of one hollow balancer: the only module that knows the client's constructors."""
+"""The discovery client of one hollow balancer: the real balancer's DiscoveryWatch.
+
+Only this module knows how a DiscoveryWatch is constructed.
+"""
 
 from __future__ import annotations
 
@@ -12,35 +15,35 @@
 from dykeshift.node.listing import ListedServer, ListReader
 from emulator.fleet.contract import Address
 
-NO_SERVER_NUMBER = -1  # number of an entry that has no address, as it is gone
-ADDRESSES_PER_OCTET = 254  # members that share the third byte of their addresses
+NO_SERVER_NUMBER = -1  # of an entry without an address, as its server is gone
+ADDRESSES_PER_OCTET = 254  # loopback addresses of a block that share the third octet
 
 
 @dataclass(frozen=True, slots=True)
 class ListedPhotoServer:
-    """One entry of a list, with the number of the stand-in that it names."""
+    """One entry of a server list, with the number of the stand-in photo server that it names."""
 
     entry: ServerEntry
     number: int
 
 
 def server_number_of(host: str) -> int:
-    """Number of the stand-in at a loopback address; the inverse of `contract.loopback`."""
+    """Number of the stand-in photo server at a loopback address; the inverse of `contract.loopback`."""
     _, _, high, low = host.split(".")
     return int(high) * ADDRESSES_PER_OCTET + int(low) - 1
 
 
-ApplyList = Callable[[int, ListKind, list[ListedPhotoServer]], None]
-DiscoveryFailed = Callable[[int, ListKind], None]
+OnServerList = Callable[[int, ListKind, list[ListedPhotoServer]], None]
+OnDiscoveryFailure = Callable[[int, ListKind], None]
 
 
-def _number_of(listed: ListedServer) -> int:
+def _server_number_of(listed: ListedServer) -> int:
     host, _, _ = listed.address.rpartition(":")
     return server_number_of(host) if host else NO_SERVER_NUMBER
 
 
 class _StoppableWatch(DiscoveryWatch):
-    """The real client, but for its end: a balancer that has died does not begin to watch again."""
+    """The real watch, except that it can be stopped: a stopped balancer must not watch again."""
 
     stopped = False
 
@@ -49,55 +52,55 @@
             super().start()
 
     def stop(self) -> None:
-        """Hang up and stay silent."""
+        """Cancel the current call and start no further one."""
         self.stopped = True
         if self.watch_task is not None:
             self.watch_task.cancel()
 
 
 class DiscoveryClient:
-    """Watches one agent and hands its lists to a hollow balancer."""
+    """Watches one discovery agent and passes its lists to a hollow balancer."""
 
     def __init__(
         self,
         agent: Address,
         zones: tuple[str, ...],
         kinds: tuple[str, ...],
-        pushed: bool,
+        is_push_mode: bool,
         drain_grace_s: float,
-        apply_list: ApplyList,
-        failed: DiscoveryFailed,
+        on_server_list: OnServerList,
+        on_discovery_failure: OnDiscoveryFailure,
     ) -> None:
-        self._apply_list = apply_list
-        self._failed = failed
-        self._client = _StoppableWatch(
+        self._on_server_list = on_server_list
+        self._on_discovery_failure = on_discovery_failure
+        self._watch = _StoppableWatch(
             asyncio.get_running_loop(),
             (agent.host, agent.port),
             ListReader(zones, kinds),
-            self._applied,
-            self._call_failed,
-            pushed,
+            self._on_list,
+            self._on_failure,
+            is_push_mode,
             drain_grace_s,
         )
 
     def start(self) -> None:
-        """Begin a watch, unless one is on."""
-        self._client.start()
+        """Start a watch, unless one is running."""
+        self._watch.start()
 
     async def wait_first_call(self) -> None:
-        """Wait for the end of the first call, be it with nothing."""
-        await self._client.call_finished.wait()
+        """Wait until the first call has ended, whether or not it returned a list."""
+        await self._watch.call_finished.wait()
 
     def stop(self) -> None:
-        """End the watch for good."""
-        self._client.stop()
+        """Stop the watch permanently."""
+        self._watch.stop()
 
-    def _applied(self, kind: ListKind, listed: list[ListedServer]) -> bool:
-        if not self._client.stopped:
-            named = [ListedPhotoServer(one.entry, _number_of(one)) for one in listed]
-            self._apply_list(time.monotonic_ns(), kind, named)
+    def _on_list(self, kind: ListKind, listed: list[ListedServer]) -> bool:
+        if not self._watch.stopped:
+            listed_servers = [ListedPhotoServer(server.entry, _server_number_of(server)) for server in listed]
+            self._on_server_list(time.monotonic_ns(), kind, listed_servers)
         return True
 
-    def _call_failed(self, kind: ListKind) -> None:
-        if not self._client.stopped:
-            self._failed(time.monotonic_ns(), kind)
+    def _on_failure(self, kind: ListKind) -> None:
+        if not self._watch.stopped:
+            self._on_discovery_failure(time.monotonic_ns(), kind)
--- a/emulator/fleet/hollow_host.py
+++ b/emulator/fleet/hollow_host.py
@@ -1,4 +1,4 @@
-"""The place of one hollow balancer in a worker: its starts and ends, its clients and its network."""
+"""Hosts one hollow balancer in a worker: its starts and stops, its clients and its network."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class HostContext(Protocol):
-    """What all hosts of a worker have in common."""
+    """What all hosts of a worker share."""
 
     timers: TimerQueue
     shards: ShardConnections
@@ -33,14 +33,14 @@
     kinds: tuple[str, ...]
     drain_grace_s: float
     answer_grace_ns: int
-    tenant_quotas: list[float]  # one balancer's part, of the tenants that are followed
+    tenant_quotas: list[float]  # one balancer's part of each tracked tenant's quota
 
     def pick_running_host(self) -> HollowHost | None:
-        """A host that is up, for a client that tries again."""
+        """A host whose balancer is running, for a client that retries; None if there is none."""
 
 
 class HollowHost:
-    """Carries out what its balancer decides, and plays its clients."""
+    """Carries out the actions of its balancer and simulates its clients."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         self.number = number
         self.zone = zone
         self.balancer: HollowBalancer | None = None
-        self.first_list_received = asyncio.Event()  # its first list has come, be it before a restart
+        self.first_list_received = asyncio.Event()  # stays set over restarts
         self._agent = agent
         self._settings = settings
         self._requests_per_s = requests_per_s
@@ -67,13 +67,16 @@
 
     @property
     def is_up(self) -> bool:
-        """Whether clients reach it."""
+        """Whether clients can reach the balancer."""
         return self.balancer is not None
 
-    # ---- start and end ----
+    # ---- start and stop ----
 
     async def start(self) -> None:
-        """Start a new balancer from nothing; it is up once discovery has been asked."""
+        """Start a new balancer without any state; it serves once its first call to discovery has ended.
+
+        Raises TimeoutError if that takes longer than READY_TIMEOUT_S; the balancer serves all the same.
+        """
         balancer = HollowBalancer(self._settings, self._random.getrandbits(63), self)
         discovery = self._discovery = DiscoveryClient(
             self._agent,
@@ -81,7 +84,7 @@
             self.shared.kinds,
             not self._settings.watch_discovery,
             self.shared.drain_grace_s,
-            partial(self._list_came, balancer),
+            partial(self._on_server_list, balancer),
             balancer.discovery_failed,
         )
         balancer.start(time.monotonic_ns())
@@ -95,14 +98,14 @@
             else:
                 balancer.stop(time.monotonic_ns())
 
-    def _list_came(
+    def _on_server_list(
         self, balancer: HollowBalancer, now: int, kind: ListKind, listed: list[ListedPhotoServer]
     ) -> None:
         balancer.update_server_list(now, kind, listed)
         self.first_list_received.set()
 
     def stop(self, now: int) -> HollowCounts:
-        """Kill the balancer: its clients lose their connections. What it had counted."""
+        """Kill the balancer; its clients lose their connections. Returns its last counts."""
         if self._discovery is not None:
             self._discovery.stop()
             self._discovery = None
@@ -110,71 +113,71 @@
         if balancer is None:
             return HollowCounts()
         for client_try in balancer.stop(now):
-            self._try_ended(now, client_try, TryOutcome.CONNECTION_FAILED, 0)
+            self._end_try(now, client_try, TryOutcome.CONNECTION_FAILED, 0)
         return balancer.counts
 
     # ---- clients ----
 
     def start_arrivals(self, at: int) -> None:
-        """Let clients come from then on."""
+        """Start the arrival of requests at that time."""
         if self._requests_per_s:
             self._next_arrival = at + self.shared.model.draw_interarrival_ns(self._requests_per_s)
             self.shared.timers.add(self._next_arrival, self._arrive)
 
     def _arrive(self, now: int) -> None:
-        due = self._next_arrival
-        if self.shared.meter.record_arrival(now - due):
-            self._make_first_try(due, now)
-        self._next_arrival = due + self.shared.model.draw_interarrival_ns(self._requests_per_s)
+        due_at = self._next_arrival
+        if self.shared.meter.record_arrival(now - due_at):
+            self._make_first_try(due_at, now)
+        self._next_arrival = due_at + self.shared.model.draw_interarrival_ns(self._requests_per_s)
         self.shared.timers.add(self._next_arrival, self._arrive)
 
-    def _make_first_try(self, due: int, now: int) -> None:
-        client_try = self.shared.model.draw_first_try(self.number, due)
+    def _make_first_try(self, due_at: int, now: int) -> None:
+        client_try = self.shared.model.draw_first_try(self.number, due_at)
         tenant = client_try.request.tenant_index
         if tenant < len(self._quotas):
-            within_quota = self._quotas[tenant].consume(due / NS_PER_S) > 0
+            within_quota = self._quotas[tenant].consume(due_at / NS_PER_S) > 0
             self.shared.meter.count_tenant_request(tenant, within_quota)
         self._submit(now, client_try)
 
     def retry(self, client_try: ClientTry, now: int) -> None:
-        """A client comes from another balancer, or again."""
+        """Accept a retry of a client whose last try went to this or to another balancer."""
         self._submit(now, client_try)
 
     def _submit(self, now: int, client_try: ClientTry) -> None:
         self.shared.meter.counts.tries += 1
         if self.balancer is None:
-            self._try_ended(now, client_try, TryOutcome.CONNECTION_FAILED, 0)
+            self._end_try(now, client_try, TryOutcome.CONNECTION_FAILED, 0)
             return
         name = self.balancer.submit(now, client_try)
-        leaves = client_try.request.disconnects_after_ns
-        if leaves and client_try.index == 0:
-            leave = partial(self._leave, self.balancer, name)
-            self.shared.timers.add(client_try.sent_at + leaves, leave)
+        disconnects_after_ns = client_try.request.disconnects_after_ns
+        if disconnects_after_ns and client_try.index == 0:
+            disconnect = partial(self._disconnect, self.balancer, name)
+            self.shared.timers.add(client_try.sent_at + disconnects_after_ns, disconnect)
 
-    def _leave(self, balancer: HollowBalancer, name: str, now: int) -> None:
+    def _disconnect(self, balancer: HollowBalancer, name: str, now: int) -> None:
         if balancer.disconnect_client(now, name):
             self.shared.meter.counts.count_request_outcome(RequestOutcome.CLIENT_GONE)
 
-    def _try_ended(self, now: int, client_try: ClientTry, end: TryOutcome, retry_after_ns: int) -> None:
-        self.shared.meter.counts.count_try_outcome(end)
-        again = None
-        if end is not TryOutcome.SERVED:
-            again = self.shared.model.plan_retry(now, client_try, end, retry_after_ns)
-        if again is None:
-            request_outcome = self.shared.model.request_outcome(now, client_try, end)
+    def _end_try(self, now: int, client_try: ClientTry, outcome: TryOutcome, retry_after_ns: int) -> None:
+        self.shared.meter.counts.count_try_outcome(outcome)
+        next_try = None
+        if outcome is not TryOutcome.SERVED:
+            next_try = self.shared.model.plan_retry(now, client_try, outcome, retry_after_ns)
+        if next_try is None:
+            request_outcome = self.shared.model.request_outcome(now, client_try, outcome)
             self.shared.meter.counts.count_request_outcome(request_outcome)
             return
         host = self.shared.pick_running_host() or self
-        self.shared.timers.add(again.sent_at, partial(host.retry, again))
+        self.shared.timers.add(next_try.sent_at, partial(host.retry, next_try))
 
-    # ---- effects of the balancer ----
+    # ---- Effects of the balancer ----
 
     def send(self, attempt: HollowAttempt, work_us: int, wait_us: int) -> None:
-        """Send it."""
+        """Send an attempt to the shard of its photo server."""
         self.shared.shards.connection_for(attempt).send(attempt, self.number, work_us, wait_us)
 
     def cancel(self, attempt: HollowAttempt) -> None:
-        """Give it up."""
+        """Cancel an attempt at the shard of its photo server."""
         self.shared.shards.connection_for(attempt).cancel(attempt)
 
     def add_timer(self, at: int, callback: Callable[[int], None]) -> None:
@@ -182,17 +185,17 @@
         self.shared.timers.add(at, callback)
 
     def start_watch(self) -> None:
-        """Begin to watch discovery."""
+        """Start a watch of discovery."""
         if self._discovery is not None:
             self._discovery.start()
 
     def on_final_answer(
-        self, now: int, client_try: ClientTry, end: TryOutcome, unloaded_us: int, retry_after: int
+        self, now: int, client_try: ClientTry, outcome: TryOutcome, unloaded_us: int, retry_after: int
     ) -> None:
-        """The client has its final answer, unless it has given up before."""
-        given_up = now > client_try.sent_at + client_try.timeout_ns + self.shared.answer_grace_ns
-        if given_up:
-            end = TryOutcome.NO_ANSWER
-        elif end is TryOutcome.SERVED:
+        """End the client's try, as NO_ANSWER if the client's timeout and the answer grace are over."""
+        has_timed_out = now > client_try.sent_at + client_try.timeout_ns + self.shared.answer_grace_ns
+        if has_timed_out:
+            outcome = TryOutcome.NO_ANSWER
+        elif outcome is TryOutcome.SERVED:
             self.shared.meter.record_served((now - client_try.sent_at) // 1000 - unloaded_us)
-        self._try_ended(now, client_try, end, retry_after)
+        self._end_try(now, client_try, outcome, retry_after)
--- a/emulator/fleet/hollow_measuring.py
+++ b/emulator/fleet/hollow_measuring.py
@@ -9,11 +9,11 @@
 
 
 class HollowMeter:
-    """Counts what happens in a worker and gives it out once a second."""
+    """Counts requests and balancers' work of a worker, for a measure once a second."""
 
     def __init__(self, tenants: int) -> None:
         self.counts = RequestCounts()
-        self.balancer_counts = HollowCounts()  # of balancers that have ended
+        self.balancer_counts = HollowCounts()  # of stopped balancers until the measure is taken
         self._tenants = tenants
         self._added = LatencyRecorder()
         self._lag = LatencyRecorder()
@@ -21,10 +21,10 @@
         self._tenant_within = [0] * tenants
         self._ready_ms: list[float] = []
         self._ready_wait_ms: list[float] = []
-        self._bytes_moved = (0, 0)
+        self._last_bytes_moved = (0, 0)
 
     def record_arrival(self, lag_ns: int) -> bool:
-        """A first try is taken so much later than it was due; False: too late to be made at all."""
+        """Record a first try that arrives so much later than due; False if it is too late to be made."""
         self.counts.asked += 1
         self._lag.record_us(lag_ns // 1000)
         missed = lag_ns > MAX_ARRIVAL_LAG_NS
@@ -32,31 +32,31 @@
         return not missed
 
     def count_tenant_request(self, tenant: int, within_quota: bool) -> None:
-        """It was one of a tenant that is followed."""
+        """Count a request of a tracked tenant."""
         self._tenant_asked[tenant] += 1
         self._tenant_within[tenant] += within_quota
 
     def record_served(self, added_us: int) -> None:
-        """A try was served, with so much added to the server's and the network's time."""
+        """Record a served try and its latency beyond that on an idle, warm server."""
         self._added.record_us(added_us)
 
     def record_ready(self, took_ms: float, waited_ms: float) -> None:
-        """A balancer is up."""
+        """Record the start of a balancer: the start itself, and the wait until it could begin."""
         self._ready_ms.append(round(took_ms, 1))
         self._ready_wait_ms.append(round(waited_ms, 1))
 
     def take_measure(
         self, at_s: float, index: int, balancers: int, open_tries: int, bytes_moved: tuple[int, int]
     ) -> HollowMeasure:
-        """The measure since the last one."""
+        """The measure of what happened since the last one."""
         counts, self.counts = self.counts, RequestCounts()
         hollow, self.balancer_counts = self.balancer_counts, HollowCounts()
         asked, self._tenant_asked = self._tenant_asked, [0] * self._tenants
         within, self._tenant_within = self._tenant_within, [0] * self._tenants
         ready, self._ready_ms = self._ready_ms, []
         waits, self._ready_wait_ms = self._ready_wait_ms, []
-        sent_before, received_before = self._bytes_moved
-        self._bytes_moved = bytes_moved
+        sent_before, received_before = self._last_bytes_moved
+        self._last_bytes_moved = bytes_moved
         return HollowMeasure(
             at_s=at_s,
             index=index,
@@ -66,7 +66,7 @@
             cancels=hollow.cancels,
             not_sent=hollow.not_sent,
             log_bytes=hollow.log_bytes,
-            decision_calls=hollow.calls,
+            decision_calls=hollow.decision_calls,
             decision_us=hollow.decision_ns // 1000,
             open_tries=open_tries,
             added=self._added.take_summary(),
--- a/emulator/fleet/hollow_shards.py
+++ b/emulator/fleet/hollow_shards.py
@@ -1,4 +1,4 @@
-"""Connections of a hollow worker to the shards of photo servers, with attempts and results in batches."""
+"""Connections of a hollow worker to the shards of photo servers; attempts and results are sent in batches."""
 
 from __future__ import annotations
 
@@ -13,43 +13,43 @@
 
 LOOPBACK = "127.0.0.1"
 
-ResultReceived = Callable[[HollowAttempt, Result], None]
+OnResult = Callable[[HollowAttempt, Result], None]
 
 
 class ShardConnection(asyncio.Protocol):
-    """One connection; what is sent waits until the next flush."""
+    """Connection to one shard; messages are queued until the next flush."""
 
-    def __init__(self, received: ResultReceived) -> None:
+    def __init__(self, on_result: OnResult) -> None:
         self.bytes_sent = self.bytes_received = 0
         self.is_lost = False
-        self._received = received
+        self._on_result = on_result
         self._transport: asyncio.Transport | None = None
         self._buffer = bytearray()
         self._decoder: msgspec.msgpack.Decoder[ResultBatch] = msgspec.msgpack.Decoder(ResultBatch)
         self._attempts: list[Attempt] = []
         self._cancelled: list[int] = []
         self._pending: dict[int, HollowAttempt] = {}
-        self._numbered = 0
+        self._next_number = 0
 
     @property
     def pending_count(self) -> int:
-        """Attempts that are out."""
+        """Attempts without a result."""
         return len(self._pending)
 
     def send(self, attempt: HollowAttempt, balancer: int, work_us: int, wait_us: int) -> None:
-        """Queue an attempt and number it."""
-        attempt.number = self._numbered
-        self._numbered += 1
+        """Queue an attempt and set its number."""
+        attempt.number = self._next_number
+        self._next_number += 1
         self._pending[attempt.number] = attempt
-        self._attempts.append(Attempt(attempt.number, attempt.server, work_us, wait_us, balancer))
+        self._attempts.append(Attempt(attempt.number, attempt.server_number, work_us, wait_us, balancer))
 
     def cancel(self, attempt: HollowAttempt) -> None:
-        """Queue the cancel of an attempt that is out; its result is not wanted any more."""
+        """Queue the cancellation of an attempt, unless it has ended; drops a result that still arrives."""
         if self._pending.pop(attempt.number, None) is not None:
             self._cancelled.append(attempt.number)
 
     def flush(self) -> None:
-        """Write what has been queued."""
+        """Write the queued messages as one batch."""
         if self._transport is not None and (self._attempts or self._cancelled):
             message = encode_frame(AttemptBatch(self._attempts, self._cancelled))
             self.bytes_sent += len(message)
@@ -57,7 +57,7 @@
             self._attempts, self._cancelled = [], []
 
     def close(self) -> None:
-        """Hang up."""
+        """Abort the connection."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -70,49 +70,54 @@
         self.is_lost = True
 
     def data_received(self, data: bytes) -> None:
-        """Protocol callback: hand over each result whose attempt is still wanted."""
+        """Protocol callback: report each result whose attempt has not been cancelled."""
         self.bytes_received += len(data)
         self._buffer += data
         for body in split_frames(self._buffer):
             for result in self._decoder.decode(body).results:
                 attempt = self._pending.pop(result.number, None)
                 if attempt is not None:
-                    self._received(attempt, result)
+                    self._on_result(attempt, result)
 
 
 class ShardConnections:
-    """All shards: photo server n is on shard n % shards."""
+    """Connections to all shards: photo server n is on shard n % (number of shards)."""
 
-    def __init__(self, received: ResultReceived) -> None:
-        self._received = received
-        self._links: list[ShardConnection] = []
+    def __init__(self, on_result: OnResult) -> None:
+        self._on_result = on_result
+        self._connections: list[ShardConnection] = []
 
     async def connect(self, ports: tuple[int, ...]) -> None:
         """Open one connection to each shard."""
         loop = asyncio.get_running_loop()
         for port in ports:
-            _, link = await loop.create_connection(lambda: ShardConnection(self._received), LOOPBACK, port)
-            self._links.append(link)
+            _, connection = await loop.create_connection(
+                lambda: ShardConnection(self._on_result), LOOPBACK, port
+            )
+            self._connections.append(connection)
 
     def connection_for(self, attempt: HollowAttempt) -> ShardConnection:
-        """The link of the attempt's server."""
-        return self._links[attempt.server % len(self._links)]
+        """The connection to the shard of the attempt's server."""
+        return self._connections[attempt.server_number % len(self._connections)]
 
     def flush(self) -> None:
-        """Write what has been queued for any shard."""
-        for link in self._links:
-            link.flush()
+        """Write the queued messages for all shards."""
+        for connection in self._connections:
+            connection.flush()
 
     def close(self) -> None:
-        """Hang up on all."""
-        for link in self._links:
-            link.close()
+        """Abort all connections."""
+        for connection in self._connections:
+            connection.close()
 
     @property
     def is_lost(self) -> bool:
-        """Whether any shard has hung up."""
-        return any(link.is_lost for link in self._links)
+        """Whether the connection to any shard is lost."""
+        return any(connection.is_lost for connection in self._connections)
 
     def bytes_moved(self) -> tuple[int, int]:
         """Bytes sent and received since the start."""
-        return sum(link.bytes_sent for link in self._links), sum(link.bytes_received for link in self._links)
+        return (
+            sum(connection.bytes_sent for connection in self._connections),
+            sum(connection.bytes_received for connection in self._connections),
+        )
--- a/emulator/fleet/hollow_timers.py
+++ b/emulator/fleet/hollow_timers.py
@@ -1,4 +1,4 @@
-"""Timers of one process in one heap, driven by whoever owns the clock."""
+"""Timers of one process in a heap, run by the owner of the clock."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 from itertools import count
 
-NanosecondClock = Callable[[], int]  # nanoseconds, never backwards
+NanosecondClock = Callable[[], int]  # monotonic, in nanoseconds
 
 
 class TimerQueue:
-    """Calls back what has come due, in order of its time; entries cannot be taken back."""
+    """Calls back in order of the due times; an entry cannot be cancelled."""
 
     def __init__(self) -> None:
         self._entries: list[tuple[int, int, Callable[[int], None]]] = []
@@ -20,15 +20,15 @@
         return len(self._entries)
 
     def add(self, at: int, callback: Callable[[int], None]) -> None:
-        """Call `callback` with the time of the call, once `at` has passed."""
+        """Call `callback` with the current time, once `at` has passed."""
         heapq.heappush(self._entries, (at, next(self._sequence), callback))
 
     def next_due_at(self) -> int | None:
-        """When the earliest entry comes due; None if there is none."""
+        """Due time of the earliest entry; None if there is none."""
         return self._entries[0][0] if self._entries else None
 
     def run_due(self, clock: NanosecondClock, until: int) -> bool:
-        """Call what has come due, but no more once it is `until`; whether any is left."""
+        """Run the entries that are due, stopping at `until`; returns whether any due entry is left."""
         entries = self._entries
         now = clock()
         while entries and entries[0][0] <= now:
--- a/emulator/fleet/hollow_worker.py
+++ b/emulator/fleet/hollow_worker.py
@@ -1,4 +1,4 @@
-"""Process that hosts a share of the hollow balancers: `python -m emulator.fleet.hollow_worker`."""
+"""Process that hosts a part of the hollow balancers: `python -m emulator.fleet.hollow_worker`."""
 
 from __future__ import annotations
 
@@ -32,37 +32,38 @@
 )
 
 ROLE = "hollow"
-FLUSH_S = 0.002  # between two flushes of the batches
-FIRST_LIST_TIMEOUT_S = 1.0  # for one balancer before the scenario's time 0
-MOST_AT_ONCE_NS = 5_000_000  # for timers, before the sockets are looked at again
-STARTS_AT_ONCE = 1  # balancers of this process that start at a time: they share its core
-GC_THRESHOLDS = 200_000, 20, 100  # whole collections walk the lists of all balancers of the process
+FLUSH_INTERVAL_S = 0.002  # between two flushes of the batches
+FIRST_LIST_TIMEOUT_S = 1.0  # for one balancer, before the scenario starts
+MAX_TIMER_RUN_NS = 5_000_000  # of timers in one go, before the event loop serves the sockets again
+MAX_CONCURRENT_STARTS = 1  # of balancers, as they share the core of the process
+# A full garbage collection walks the server lists of all balancers of the process, so it has to be rare.
+GC_THRESHOLDS = 200_000, 20, 100
 
 
 log = structlog.get_logger()
 
 
 class HollowWorker:
-    """All hollow balancers of one process."""
+    """Hosts the hollow balancers of one process."""
 
     def __init__(self, fleet: FleetContext) -> None:
         config, scenario, layout = fleet.config, fleet.scenario, fleet.layout
-        wire = build_settings(scenario, layout, 0)
-        settings = parse_settings(wire)
+        raw_settings = build_settings(scenario, layout, 0)
+        settings = parse_settings(raw_settings)
         self.config = config
         self.timers = TimerQueue()
-        self.shards = ShardConnections(self._result_came)
+        self.shards = ShardConnections(self._on_result)
         self.model = ClientModel(scenario, layout, f"{config.seed}/hollow clients {config.index}")
         self.meter = HollowMeter(tracked_tenant_count(scenario))
         self.zones = layout.zone_names
         self.kinds = tuple(kind.name for kind in scenario.servers.kinds)
         self._layout = layout
-        self._reports_in_answers = wire["report"]["how"] == "piggyback"
-        self.drain_grace_s = wire["obligations"]["drainGraceNs"] / NS_PER_S
-        self.answer_grace_ns = int(wire["obligations"]["answerSlackNs"])
+        self._has_load_reports = raw_settings["report"]["how"] == "piggyback"
+        self.drain_grace_s = raw_settings["obligations"]["drainGraceNs"] / NS_PER_S
+        self.answer_grace_ns = int(raw_settings["obligations"]["answerSlackNs"])
         self.tenant_quotas = _split_quotas(settings, scenario)
         self._random = Random(f"{config.seed}/hollow worker {config.index}")
-        self._starts = asyncio.Semaphore(STARTS_AT_ONCE)
+        self._start_limit = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
         self._tasks: set[asyncio.Task[None]] = set()
         self.hosts = {
             number: HollowHost(
@@ -80,14 +81,14 @@
         self._hosts = list(self.hosts.values())
 
     def pick_running_host(self) -> HollowHost | None:
-        """A host that is up, for a client that tries again."""
+        """A random host whose balancer is running, for a client that retries; None if none was found."""
         for _ in self._hosts:
             host = self._hosts[int(self._random.random() * len(self._hosts))]
             if host.is_up:
                 return host
         return None
 
-    # ---- the life of the process ----
+    # ---- start and stop of the process ----
 
     async def listen(self) -> None:
         """Connect to the photo servers and start all balancers."""
@@ -95,40 +96,43 @@
         await self.shards.connect(self.config.addresses.shard_ports)
         for host in self._hosts:
             await self._start(host)
-            await self._first_list(host)
-            self._run_due()
-        self._run_task(self._tick())
+            await self._wait_first_list(host)
+            self._run_due_timers()
+        self._run_task(self._run_timers_and_flush())
 
     def start(self, clock: ScenarioClock) -> None:
-        """Let clients come."""
+        """Start the arrival of requests at the scenario's start."""
         start_ns = time.monotonic_ns() - int(clock.now_s() * NS_PER_S)
         for host in self._hosts:
             host.start_arrivals(start_ns)
 
     def finish(self) -> None:
-        """End all balancers."""
+        """Stop all balancers."""
         for task in list(self._tasks):
             task.cancel()
         for host in self._hosts:
             host.stop(time.monotonic_ns())
         self.shards.close()
 
-    async def _tick(self) -> None:
+    async def _run_timers_and_flush(self) -> None:
         while True:
-            busy = self._run_due()
+            has_due_timers = self._run_due_timers()
             self.shards.flush()
-            await asyncio.sleep(0 if busy else FLUSH_S)
+            await asyncio.sleep(0 if has_due_timers else FLUSH_INTERVAL_S)
 
-    def _run_due(self) -> bool:
-        return self.timers.run_due(time.monotonic_ns, time.monotonic_ns() + MOST_AT_ONCE_NS)
+    def _run_due_timers(self) -> bool:
+        return self.timers.run_due(time.monotonic_ns, time.monotonic_ns() + MAX_TIMER_RUN_NS)
 
-    async def _first_list(self, host: HollowHost) -> None:
-        """Wait for it before the next one starts: the sweeps of those with a list would delay the reading."""
+    async def _wait_first_list(self, host: HollowHost) -> None:
+        """Wait for the first list before the next balancer starts.
+
+        The sweeps of balancers that already have a list would otherwise delay reading the other lists.
+        """
         try:
             async with asyncio.timeout(FIRST_LIST_TIMEOUT_S):
                 await host.first_list_received.wait()
         except TimeoutError:
-            log.warning("no list in time", balancer=host.number)
+            log.warning("no server list within the timeout", balancer=host.number)
 
     def _run_task(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -138,44 +142,44 @@
     # ---- events ----
 
     def apply(self, event: Event) -> None:
-        """Play this process's part of an event."""
+        """Stop or start the balancers of this process that the event names."""
         now = time.monotonic_ns()
         match event:
             case BalancersStopped():
-                for host in self._own(event.balancers):
+                for host in self._hosts_of(event.balancers):
                     self.meter.balancer_counts.add(host.stop(now))
             case BalancersStarted():
-                for host in self._own(event.balancers):
+                for host in self._hosts_of(event.balancers):
                     self._run_task(self._start(host))
 
-    def _own(self, balancers: tuple[int, ...]) -> list[HollowHost]:
+    def _hosts_of(self, balancers: tuple[int, ...]) -> list[HollowHost]:
         return [self.hosts[number] for number in balancers if number in self.hosts]
 
     async def _start(self, host: HollowHost) -> None:
-        asked_for = time.monotonic()
-        async with self._starts:
-            began = time.monotonic()
+        requested_at = time.monotonic()
+        async with self._start_limit:
+            started_at = time.monotonic()
             try:
                 await host.start()
             except TimeoutError:
-                log.warning("not ready in time", balancer=host.number)
-            ended = time.monotonic()
-        self.meter.record_ready((ended - began) * 1e3, (began - asked_for) * 1e3)
+                log.warning("not ready within the timeout", balancer=host.number)
+            ready_at = time.monotonic()
+        self.meter.record_ready((ready_at - started_at) * 1e3, (started_at - requested_at) * 1e3)
 
-    def _result_came(self, attempt: HollowAttempt, result: Result) -> None:
+    def _on_result(self, attempt: HollowAttempt, result: Result) -> None:
         report = None
-        if self._reports_in_answers:
+        if self._has_load_reports:
             report = LoadReport(in_flight=result.in_flight, service_ms=result.service_us / 1e3)
         host = attempt.balancer.effects
         assert isinstance(host, HollowHost)
-        unloaded_us = self._own_time_us(host.zone, attempt)
+        unloaded_us = self._unloaded_time_us(host.zone, attempt)
         attempt.balancer.end_attempt(
             time.monotonic_ns(), attempt, Outcome[result.outcome], report, unloaded_us
         )
 
-    def _own_time_us(self, zone: int, attempt: HollowAttempt) -> int:
-        """What the attempt takes on an idle, warm server: its work, and the way there and back."""
-        place = self._layout.servers[attempt.server]
+    def _unloaded_time_us(self, zone: int, attempt: HollowAttempt) -> int:
+        """How long the attempt takes on an idle, warm server: its work and the network delay both ways."""
+        place = self._layout.servers[attempt.server_number]
         work_us = attempt.open_try.client_try.request.work_us
         return int(work_us / place.speed + 2e6 * self._layout.delays_s[zone][place.zone])
 
@@ -187,12 +191,12 @@
         for balancer in running:
             self.meter.balancer_counts.add(balancer.take_counts())
         open_tries = sum(balancer.open_try_count for balancer in running)
-        moved = self.shards.bytes_moved()
-        print_message(self.meter.take_measure(at_s, self.config.index, len(running), open_tries, moved))
+        bytes_moved = self.shards.bytes_moved()
+        print_message(self.meter.take_measure(at_s, self.config.index, len(running), open_tries, bytes_moved))
 
 
 def _split_quotas(settings: Settings, scenario: Scenario) -> list[float]:
-    """Each balancer's equal part of the quotas of the tenants that are followed, by rank; 0 where none."""
+    """Each balancer's equal part of the tracked tenants' quotas, by rank; 0 for a tenant without a quota."""
     quotas = [
         share / scenario.balancers.total for share in settings.tenant_quotas_per_s[:MAX_TRACKED_TENANTS]
     ]
--- a/tests/emulator/fleet_fakes.py
+++ b/tests/emulator/fleet_fakes.py
@@ -1,4 +1,4 @@
-"""A clock, a scenario and servers for hollow balancers, without sockets."""
+"""A simulated clock, a small scenario and fake servers for hollow balancers, without sockets."""
 
 from __future__ import annotations
 
@@ -106,7 +106,7 @@
     real: int = 1,
     events: str = "",
 ) -> Path:
-    """A small scenario file."""
+    """Write a small scenario file and return its path."""
     path = folder / "small.toml"
     text = SCENARIO_TEXT.format(
         duration_s=duration_s, requests_per_s=requests_per_s, balancers=balancers, real=real
@@ -116,22 +116,22 @@
 
 
 def small_scenario(folder: Path) -> Scenario:
-    """The small scenario, read."""
+    """The small scenario, loaded from its file."""
     return load_scenario(write_scenario(folder))
 
 
 @dataclass
 class Answer:
-    """A final answer that a client had."""
+    """A final answer to a client."""
 
-    at: int
+    answered_at: int
     client_try: ClientTry
-    end: TryOutcome
+    outcome: TryOutcome
 
 
 @dataclass
 class FakeEffects:
-    """Carries out what a hollow balancer decides, on a clock of its own."""
+    """Carries out the actions of a hollow balancer on a simulated clock."""
 
     now: int = 100 * S
     timers: TimerQueue = field(default_factory=TimerQueue)
@@ -142,7 +142,7 @@
     serve: Callable[[HollowAttempt], tuple[int, Outcome] | None] = lambda attempt: (5 * MS, Outcome.OK)
 
     def send(self, attempt: HollowAttempt, work_us: int, wait_us: int) -> None:
-        """The fake server answers after its time; never, if `serve` says None."""
+        """Answer after the time and with the outcome that `serve` returns; never if it returns None."""
         assert wait_us > 0
         attempt.number = len(self.sent)
         self.sent.append(attempt)
@@ -156,7 +156,7 @@
             attempt.balancer.end_attempt(now, attempt, outcome)
 
     def cancel(self, attempt: HollowAttempt) -> None:
-        """Given up."""
+        """Record the cancelled attempt."""
         self.cancelled.append(attempt)
 
     def add_timer(self, at: int, callback: Callable[[int], None]) -> None:
@@ -164,17 +164,17 @@
         self.timers.add(at, callback)
 
     def start_watch(self) -> None:
-        """Counted."""
+        """Count the watch."""
         self.watch_count += 1
 
     def on_final_answer(
-        self, now: int, client_try: ClientTry, end: TryOutcome, unloaded_us: int, retry_after: int
+        self, now: int, client_try: ClientTry, outcome: TryOutcome, unloaded_us: int, retry_after: int
     ) -> None:
-        """Noted."""
-        self.answers.append(Answer(now, client_try, end))
+        """Record the answer."""
+        self.answers.append(Answer(now, client_try, outcome))
 
     def run_for(self, duration: int) -> None:
-        """Let the time pass, from deadline to deadline."""
+        """Advance the clock from timer to timer, then to the end of the duration."""
         end = self.now + duration
         while (at := self.timers.next_due_at()) is not None and at <= end:
             self.now = max(self.now, at)
@@ -183,32 +183,32 @@
 
 
 class ScriptedModule:
-    """In place of the decision module: sends each request where it is told to, and does nothing else."""
+    """Replaces the decision module: sends each request to all targets and does nothing else."""
 
     def __init__(self, *targets: int) -> None:
         self.targets = targets
         self.attempt_ends: list[AttemptEnd] = []
 
     def on_request(self, now: int, request: Request) -> list[Action]:
-        """One attempt at each target."""
+        """Send one attempt to each target."""
         return [Send(request.id, server, 0) for server in self.targets]
 
     def on_attempt_end(self, now: int, end: AttemptEnd) -> list[Action]:
-        """Noted."""
+        """Record the end of the attempt."""
         self.attempt_ends.append(end)
         return []
 
     def on_client_gone(self, now: int, request_id: str) -> list[Action]:
-        """Nothing is done."""
+        """Do nothing."""
         return []
 
     def on_timer(self, now: int, token: str) -> list[Action]:
-        """One that the decision module had set: nothing is done."""
+        """Ignore a timer that the replaced decision module had set."""
         return []
 
 
 def make_balancer(scenario: Scenario, effects: FakeEffects, servers: int = 12) -> HollowBalancer:
-    """A started balancer with a list of ready servers."""
+    """A started hollow balancer with a list of ready servers."""
     layout = build_layout(scenario, 1)
     settings = replace(parse_settings(build_settings(scenario, layout, 0)), balancer_count=1)
     balancer = HollowBalancer(settings, 1, effects)
@@ -220,10 +220,10 @@
 
 
 def listed_server(number: int, state: ServerState = ServerState.READY) -> ListedPhotoServer:
-    """A list entry whose id differs from the stand-in's number."""
+    """A list entry whose server id differs from the stand-in's number."""
     return ListedPhotoServer(ServerEntry(1000 + number, number % 2, 0, 0, state, 1.0, 0), number)
 
 
 def make_model(scenario: Scenario) -> ClientModel:
-    """The scenario's clients."""
+    """The client model of the scenario."""
     return ClientModel(scenario, build_layout(scenario, 1), "test")
