--- a/emulator/control/agents.py
+++ b/emulator/control/agents.py
@@ -1,6 +1,6 @@
 """The agents of all balancers in one process: `python -m emulator.control.agents`.
 
-Each agent polls the control machines that it can reach in turn, one long poll at each, so that a machine that
+Each agent polls the reachable control machines in turn, with one long poll at each, so that a machine that
 lags behind or is cut off delays a version by at most one long poll. Agents keep running while their balancers
 restart.
 """
@@ -39,7 +39,7 @@
 
 
 class UnreachableError(ConnectionError):
-    """The machine is on the other side of a network split: its response is discarded."""
+    """The control machine became unreachable during the call; its response is discarded."""
 
 
 class SettingsAgent:
--- a/emulator/control/machine.py
+++ b/emulator/control/machine.py
@@ -90,9 +90,8 @@
         self.replica = Replica(config.index, config.machines, log.records, config.seed + config.index)
         self.history = SettingsHistory()
         self.unreachable_machines: set[int] = set()
-        self.waiting_publishers: defaultdict[str, list[asyncio.Future[Outcome]]] = defaultdict(
-            list
-        )  # by change ID
+        # By change ID.
+        self.waiting_publishers: defaultdict[str, list[asyncio.Future[Outcome]]] = defaultdict(list)
         self.peers = {
             n: Peer(
                 config.index,
--- a/emulator/control/measures.py
+++ b/emulator/control/measures.py
@@ -42,9 +42,8 @@
     balancer_count: int
     # Of each valid version that was accepted: when its publisher sent the change.
     published_at_ns: dict[int, int] = field(default_factory=dict)
-    in_force_reports: dict[int, list[InForce]] = field(
-        default_factory=lambda: defaultdict(list)
-    )  # by balancer
+    # By balancer, in the order in which they were received.
+    in_force_reports: dict[int, list[InForce]] = field(default_factory=lambda: defaultdict(list))
     # By balancer: the times at which it started or the split of its region ended.
     reachable_since_ns: dict[int, list[int]] = field(default_factory=lambda: defaultdict(list))
     newest_versions: dict[int, int] = field(default_factory=dict)  # by balancer: the newest one ever in force
--- a/emulator/control/replica.py
+++ b/emulator/control/replica.py
@@ -47,7 +47,7 @@
 
     ACCEPTED = auto()
     REJECTED = auto()  # no machine has accepted the change as a result of this submission
-    UNKNOWN = auto()  # some machine may have accepted it: to be sent again with the same id
+    UNKNOWN = auto()  # some machine may have accepted it: to be sent again with the same ID
 
 
 @dataclass(frozen=True, slots=True)
@@ -286,14 +286,12 @@
         ):
             self.current_round = None
         change_id = pending.change.change_id
-        response_count = f"{pending.max_promise_count} of {self.machine_count} control machines"
+        responders = f"{pending.max_promise_count} of {self.machine_count} control machines"
         if pending.may_be_accepted:
-            reason = (
-                f"not known whether it is accepted: {response_count} answered, send it again under its id"
-            )
+            reason = f"not known whether it is accepted: {responders} answered, send it again under its id"
             self.output.outcomes.append(Outcome(change_id, Verdict.UNKNOWN, reason=reason))
         else:
-            reason = f"turned down: {response_count} answered, {self.majority} are needed"
+            reason = f"turned down: {responders} answered, {self.majority} are needed"
             self.output.outcomes.append(Outcome(change_id, Verdict.REJECTED, reason=reason))
 
     # ---- learner ----
