--- a/emulator/fleet/clients.py
+++ b/emulator/fleet/clients.py
@@ -23,7 +23,7 @@
 )
 from emulator.fleet.contract import request_target
 from emulator.fleet.hollow_timers import TimerQueue
-from emulator.fleet.http_client import ConnectionPool, HttpAnswer, HttpConnection
+from emulator.fleet.http_client import ConnectionPool, HttpResponse, HttpClientConnection
 from emulator.fleet.latency import LatencyRecorder
 from emulator.fleet.measures import ClientMeasure, RequestCounts
 from emulator.fleet.process import ScenarioClock, FleetContext, run_child, print_message
@@ -52,7 +52,7 @@
     def __init__(self, client_try: ClientTry, begun: int) -> None:
         self.client_try = client_try
         self.begun = begun  # when this process came to it, which is no delay of the balancer's
-        self.connection: HttpConnection | None = None
+        self.connection: HttpClientConnection | None = None
         self.over = False
 
 
@@ -139,7 +139,7 @@
 
     async def _send(self, balancer: int, one: OpenTry) -> None:
         try:
-            connection = await self._pools[balancer].take()
+            connection = await self._pools[balancer].acquire()
         except OSError:
             self._end(one, TryOutcome.CONNECTION_FAILED, 0)
             return
@@ -147,7 +147,7 @@
             connection.close()
             return
         one.connection = connection
-        connection.request(self._message(one.client_try, balancer), partial(self._answered, one))
+        connection.send_request(self._message(one.client_try, balancer), partial(self._answered, one))
 
     def _message(self, client_try: ClientTry, balancer: int) -> bytes:
         request, klass = client_try.request, self.scenario.classes[client_try.request.class_index]
@@ -168,13 +168,13 @@
             headers.append("Content-Length: 0")
         return "\r\n".join([*headers, "", ""]).encode()
 
-    def _answered(self, one: OpenTry, answer: HttpAnswer | None) -> None:
-        if answer is None:
+    def _answered(self, one: OpenTry, response: HttpResponse | None) -> None:
+        if response is None:
             self._end(one, TryOutcome.CONNECTION_FAILED, 0)
-        elif answer.status == 200:
-            self._served(one, answer.body)
-        elif answer.status in REFUSALS:
-            self._end(one, TryOutcome.REFUSED, int(answer.retry_after_s * NS_PER_S))
+        elif response.status == 200:
+            self._served(one, response.body)
+        elif response.status in REFUSALS:
+            self._end(one, TryOutcome.REFUSED, int(response.retry_after_s * NS_PER_S))
         else:
             self._end(one, TryOutcome.FAILED, 0)
 
@@ -192,7 +192,7 @@
     def _expire(self, one: OpenTry, now: int) -> None:
         if not one.over:
             if one.connection is not None:
-                one.connection.abandon()
+                one.connection.cancel_request()
             self._end(one, TryOutcome.NO_ANSWER, 0)
 
     def _leave(self, one: OpenTry, now: int) -> None:
@@ -200,7 +200,7 @@
             one.over = True
             self._open.discard(one)
             if one.connection is not None:
-                one.connection.abandon()
+                one.connection.cancel_request()
             self._counts.count_request_outcome(RequestOutcome.CLIENT_GONE)
 
     def _end(self, one: OpenTry, end: TryOutcome, retry_after_ns: int) -> None:
@@ -230,7 +230,7 @@
             index=self.config.index,
             requests=counts,
             open_requests=len(self._open),
-            connections=len(self._open) + sum(pool.idle_connections() for pool in self._pools),
+            connections=len(self._open) + sum(pool.idle_count() for pool in self._pools),
             added=self._added.take_summary(),
             lag=self._lag.take_summary(),
             unsound_answers=unsound,
--- a/emulator/fleet/deadlines.py
+++ b/emulator/fleet/deadlines.py
@@ -8,10 +8,10 @@
 from typing import Protocol
 
 # The grain of the event loop's timers: a shorter wait would be none, and the loop would spin.
-LEAST_WAIT_S = 0.001
+MIN_WAIT_S = 0.001
 
 
-class Paced(Protocol):
+class DeadlineOwner(Protocol):
     """Something with deadlines of its own, in seconds of the scenario."""
 
     def next_deadline(self) -> float | None:
@@ -21,23 +21,25 @@
         """Do everything that is due."""
 
 
-class Pacemaker:
+class DeadlineTimer:
     """Calls `advance` of one object at its deadlines."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, clock: Callable[[], float], paced: Paced) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, clock: Callable[[], float], owner: DeadlineOwner
+    ) -> None:
         self._loop = loop
         self._clock = clock
-        self._paced = paced
+        self._owner = owner
         self._timer: asyncio.TimerHandle | None = None
         self._armed_for = float("inf")
 
     def rearm(self) -> None:
         """Set the timer for the earliest deadline; to be called after anything that may have added one."""
-        deadline = self._paced.next_deadline()
+        deadline = self._owner.next_deadline()
         if deadline is None or deadline >= self._armed_for:
             return
         self.stop()
-        wait = max(LEAST_WAIT_S, deadline - self._clock())
+        wait = max(MIN_WAIT_S, deadline - self._clock())
         self._armed_for = deadline
         self._timer = self._loop.call_later(wait, self._fire)
 
@@ -49,7 +51,7 @@
 
     def _fire(self) -> None:
         self._timer, self._armed_for = None, float("inf")
-        self._paced.advance(self._clock())
+        self._owner.advance(self._clock())
         self.rearm()
 
 
--- a/emulator/fleet/discovery.py
+++ b/emulator/fleet/discovery.py
@@ -8,33 +8,38 @@
 from functools import partial
 
 from emulator.fleet import timeline as events
-from emulator.fleet.deadlines import DeadlineHeap, Pacemaker
-from emulator.fleet.discovery_agent import Agent, AgentConnection, Traffic
+from emulator.fleet.deadlines import DeadlineHeap, DeadlineTimer
+from emulator.fleet.discovery_agent import DiscoveryAgent, AgentConnection, TrafficCounts
 from emulator.fleet.discovery_encoding import InstanceBuilder, RegionEncoder
 from emulator.fleet.discovery_list import ListSchedule
-from emulator.fleet.discovery_measures import Acknowledgements, DiscoverySecond, DiscoveryTotal, Series
-from emulator.fleet.discovery_transfers import Transfers
+from emulator.fleet.discovery_measures import (
+    AcknowledgementTracker,
+    DiscoverySecond,
+    DiscoveryTotal,
+    PropagationSeries,
+)
+from emulator.fleet.discovery_transfers import TransferQueue
 from emulator.fleet.process import ScenarioClock, FleetContext, run_child, print_message
 
 ROLE = "discovery"
 BACKLOG = 64
 
 
-class DiscoveryPart:
+class DiscoveryProcess:
     """All agents together: their sockets, their releases and their measures."""
 
     def __init__(self, fleet: FleetContext) -> None:
         self.fleet = fleet
         self.clock = ScenarioClock(0)
         self.releases = DeadlineHeap()
-        self.hollow, self.real = Series(), Series()
-        self.traffic, self.reported = Traffic(), Traffic()
-        self.transfers = Transfers(self._call_later)
-        self.agents = self._make_agents()
-        self.pacemaker: Pacemaker | None = None
+        self.hollow, self.real = PropagationSeries(), PropagationSeries()
+        self.traffic, self.reported = TrafficCounts(), TrafficCounts()
+        self.transfers = TransferQueue(self._call_later)
+        self.agents = self._create_agents()
+        self.deadline_timer: DeadlineTimer | None = None
         self.servers: list[asyncio.Server] = []
 
-    def _make_agents(self) -> list[Agent]:
+    def _create_agents(self) -> list[DiscoveryAgent]:
         fleet = self.fleet
         layout, scenario = fleet.layout, fleet.scenario
         schedule = ListSchedule(scenario, layout, fleet.timeline, fleet.config.seed)
@@ -48,9 +53,9 @@
             region = layout.balancer_region(number)
             series = self.real if number < scenario.balancers.real else self.hollow
             agents.append(
-                Agent(
+                DiscoveryAgent(
                     encoder=encoders[region],
-                    acknowledgements=Acknowledgements(series),
+                    acknowledgements=AcknowledgementTracker(series),
                     traffic=self.traffic,
                     releases=self.releases,
                     versions=schedule.versions[region],
@@ -77,29 +82,29 @@
     def start(self, clock: ScenarioClock) -> None:
         """Release the versions at their times from here on."""
         self.clock = clock
-        self.pacemaker = Pacemaker(asyncio.get_running_loop(), clock.now_s, self.releases)
+        self.deadline_timer = DeadlineTimer(asyncio.get_running_loop(), clock.now_s, self.releases)
         for agent in self.agents:
             agent.schedule_release()
-        self.pacemaker.rearm()
+        self.deadline_timer.rearm()
 
     def apply(self, event: events.Event) -> None:
         """Outages, silent watches and restarts of balancers; changes of the list are scheduled already."""
         match event:
             case events.DiscoverySilenced():
                 for agent in self._agents_in(event.regions):
-                    agent.silence(watches_alone=False)
+                    agent.stop_responding(long_polls_only=False)
             case events.DiscoveryReturned():
                 for agent in self._agents_in(event.regions):
-                    agent.silent = False
+                    agent.ignores_calls = False
             case events.WatchesSilenced():
                 for number in event.balancers:
-                    self.agents[number].silence(watches_alone=True)
+                    self.agents[number].stop_responding(long_polls_only=True)
             case events.WatchesReturned():
                 for number in event.balancers:
-                    self.agents[number].watches_silent = False
+                    self.agents[number].ignores_long_polls = False
             case events.BalancersStopped() | events.BalancersStarted():
                 for number in event.balancers:
-                    self.agents[number].restarted()
+                    self.agents[number].handle_balancer_restart()
 
     def measure(self, at_s: float) -> None:
         """Report one second."""
@@ -116,7 +121,7 @@
                 real=self.real.take_second(),
             )
         )
-        self.reported = Traffic(
+        self.reported = TrafficCounts(
             now.calls, now.whole_lists, now.silent_calls, now.sent_bytes, now.received_bytes
         )
 
@@ -141,12 +146,12 @@
 
     def close(self) -> None:
         """Listen no more and call nothing any more."""
-        if self.pacemaker is not None:
-            self.pacemaker.stop()
+        if self.deadline_timer is not None:
+            self.deadline_timer.stop()
         for server in self.servers:
             server.close()
 
-    def _agents_in(self, regions: tuple[int, ...]) -> list[Agent]:
+    def _agents_in(self, regions: tuple[int, ...]) -> list[DiscoveryAgent]:
         layout = self.fleet.layout
         return [
             agent for number, agent in enumerate(self.agents) if layout.balancer_region(number) in regions
@@ -159,13 +164,13 @@
         return self.clock.now_s()
 
     def _rearm(self) -> None:
-        if self.pacemaker is not None:
-            self.pacemaker.rearm()
+        if self.deadline_timer is not None:
+            self.deadline_timer.rearm()
 
 
 def main() -> int:
     """Run stand-in discovery until standard input ends."""
-    return run_child(ROLE, DiscoveryPart)
+    return run_child(ROLE, DiscoveryProcess)
 
 
 if __name__ == "__main__":
--- a/emulator/fleet/discovery_agent.py
+++ b/emulator/fleet/discovery_agent.py
@@ -14,16 +14,16 @@
 from emulator.fleet.deadlines import DeadlineHeap
 from emulator.fleet.discovery_encoding import RegionEncoder
 from emulator.fleet.discovery_list import FIRST_GENERATION, ListVersion
-from emulator.fleet.discovery_measures import Acknowledgements
-from emulator.fleet.discovery_transfers import Transfers
+from emulator.fleet.discovery_measures import AcknowledgementTracker
+from emulator.fleet.discovery_transfers import TransferQueue
 
-PATH = b"/v1/endpoints"
-LONGEST_HOLD_MS = 60_000
+ENDPOINTS_PATH = b"/v1/endpoints"
+MAX_LONG_POLL_MS = 60_000
 NOT_FOUND = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
 
 
 @dataclass(slots=True)
-class Traffic:
+class TrafficCounts:
     """What all agents together have been asked and have answered."""
 
     calls: int = 0
@@ -34,43 +34,43 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
+class DiscoveryCall:
     """One call of a balancer."""
 
     generation: int | None  # that the balancer has; None: it asks for the whole list
     hold_ms: int
 
 
-class Reply(Protocol):
+class ResponseSender(Protocol):
     """Where the answer to a call goes."""
 
-    def answer(self, body: bytes) -> None:
+    def respond(self, body: bytes) -> None:
         """Send the answer; does nothing if the balancer is gone."""
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class PendingLongPoll:
     """A call that waits for news."""
 
     generation: int
-    reply: Reply
+    sender: ResponseSender
 
 
 @dataclass(slots=True, eq=False)
-class Agent:
+class DiscoveryAgent:
     """Tells one balancer what the replica of its region has released to it."""
 
     encoder: RegionEncoder
-    acknowledgements: Acknowledgements
-    traffic: Traffic
+    acknowledgements: AcknowledgementTracker
+    traffic: TrafficCounts
     releases: DeadlineHeap
     versions: Sequence[ListVersion]
     visible_at_s: Callable[[float], float]  # when this agent can tell what was released at a time
     call_later: Callable[[float, Callable[[], None]], object]
     generation: int = FIRST_GENERATION
-    silent: bool = False  # answers nothing
-    watches_silent: bool = False  # answers no held call
-    held: list[Held] = field(default_factory=list)
+    ignores_calls: bool = False  # answers nothing
+    ignores_long_polls: bool = False  # answers no held call
+    long_polls: list[PendingLongPoll] = field(default_factory=list)
 
     def schedule_release(self) -> None:
         """Add the time at which the next version becomes visible here."""
@@ -78,36 +78,36 @@
         if upcoming < len(self.versions):
             self.releases.add(self.visible_at_s(self.versions[upcoming].release_s), self._release)
 
-    def called(self, call: Call, reply: Reply, now_s: float) -> None:
+    def handle_call(self, call: DiscoveryCall, sender: ResponseSender, now_s: float) -> None:
         """Answer a call, at once or later, or stay silent."""
         self.traffic.calls += 1
-        if self.silent or (self.watches_silent and call.hold_ms):
+        if self.ignores_calls or (self.ignores_long_polls and call.hold_ms):
             self.traffic.silent_calls += 1
             return
-        self.acknowledgements.called(call.generation, now_s)
+        self.acknowledgements.handle_call(call.generation, now_s)
         if call.generation is None or not FIRST_GENERATION <= call.generation <= self.generation:
             self.traffic.whole_lists += 1
-            reply.answer(self.encoder.full_list(self.generation))
+            sender.respond(self.encoder.full_list(self.generation))
         elif call.generation < self.generation or not call.hold_ms:
-            reply.answer(self.encoder.delta(call.generation, self.generation))
+            sender.respond(self.encoder.delta(call.generation, self.generation))
         else:
-            held = Held(call.generation, reply)
-            self.held.append(held)
-            self.call_later(call.hold_ms / 1e3, lambda: self._expire(held))
+            long_poll = PendingLongPoll(call.generation, sender)
+            self.long_polls.append(long_poll)
+            self.call_later(call.hold_ms / 1e3, lambda: self._expire(long_poll))
 
-    def silence(self, *, watches_alone: bool) -> None:
+    def stop_responding(self, *, long_polls_only: bool) -> None:
         """Answer no call any more, or only those that are not held; calls that wait are never answered."""
-        if watches_alone:
-            self.watches_silent = True
+        if long_polls_only:
+            self.ignores_long_polls = True
         else:
-            self.silent = True
-        self.traffic.silent_calls += len(self.held)
-        self.held.clear()
+            self.ignores_calls = True
+        self.traffic.silent_calls += len(self.long_polls)
+        self.long_polls.clear()
 
-    def restarted(self) -> None:
+    def handle_balancer_restart(self) -> None:
         """The balancer has ended."""
-        self.acknowledgements.restarted()
-        self.held.clear()
+        self.acknowledgements.handle_balancer_restart()
+        self.long_polls.clear()
 
     def _release(self, at_s: float) -> None:
         first = self.generation - FIRST_GENERATION
@@ -116,15 +116,15 @@
                 break
             self.generation = version.generation
             self.acknowledgements.release(version.generation, at_s)
-        waiting, self.held = self.held, []
-        for held in waiting:
-            held.reply.answer(self.encoder.delta(held.generation, self.generation))
+        waiting, self.long_polls = self.long_polls, []
+        for long_poll in waiting:
+            long_poll.sender.respond(self.encoder.delta(long_poll.generation, self.generation))
         self.schedule_release()
 
-    def _expire(self, held: Held) -> None:
-        if held in self.held:
-            self.held.remove(held)
-            held.reply.answer(self.encoder.delta(held.generation, self.generation))
+    def _expire(self, long_poll: PendingLongPoll) -> None:
+        if long_poll in self.long_polls:
+            self.long_polls.remove(long_poll)
+            long_poll.sender.respond(self.encoder.delta(long_poll.generation, self.generation))
 
 
 class AgentConnection(asyncio.Protocol):
@@ -132,8 +132,8 @@
 
     def __init__(
         self,
-        agent: Agent,
-        transfers: Transfers,
+        agent: DiscoveryAgent,
+        transfers: TransferQueue,
         now_s: Callable[[], float],
         rearm: Callable[[], None],
     ) -> None:
@@ -152,7 +152,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Part of asyncio.Protocol."""
         self._transport = None
-        self._transfers.finished(self)
+        self._transfers.finish(self)
 
     def data_received(self, data: bytes) -> None:
         """Part of asyncio.Protocol."""
@@ -174,18 +174,18 @@
 
     def on_message_complete(self) -> None:
         """Part of the parser's callbacks."""
-        self._transfers.finished(self)
+        self._transfers.finish(self)
         call = parse_call(self._target)
         if call is None or self._parser.get_method() != b"GET":
             self._send(NOT_FOUND)
         else:
-            self._agent.called(call, self, self._now_s())
+            self._agent.handle_call(call, self, self._now_s())
 
-    def answer(self, body: bytes) -> None:
+    def respond(self, body: bytes) -> None:
         """Part of `Reply`."""
         self._transfers.send(self, body)
 
-    def has_given_up(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Part of `Receiver`."""
         return self._transport is None or has_peer_closed(self._transport.get_extra_info("socket"))
 
@@ -200,10 +200,10 @@
             self._transport.write(data)
 
 
-def parse_call(target: bytes) -> Call | None:
+def parse_call(target: bytes) -> DiscoveryCall | None:
     """The call that a request target makes; None if it makes none."""
     path, _, query = target.partition(b"?")
-    if path != PATH:
+    if path != ENDPOINTS_PATH:
         return None
     values = parse_qs(query.decode("latin-1"))
     try:
@@ -211,4 +211,4 @@
         hold_ms = int(values.get("hold_ms", ["0"])[0])
     except ValueError:
         return None
-    return Call(generation, min(max(hold_ms, 0), LONGEST_HOLD_MS))
+    return DiscoveryCall(generation, min(max(hold_ms, 0), MAX_LONG_POLL_MS))
--- a/emulator/fleet/discovery_encoding.py
+++ b/emulator/fleet/discovery_encoding.py
@@ -20,8 +20,8 @@
 from emulator.fleet.layout import Layout, instance_id
 from emulator.fleet.settings_for_balancers import format_host_port
 
-KEPT_LISTS = 4  # agents of one region are at most a few versions apart
-KEPT_CHANGES = 1024
+MAX_CACHED_LISTS = 4  # agents of one region are at most a few versions apart
+MAX_CACHED_DELTAS = 1024
 
 
 class InstanceBuilder:
@@ -68,8 +68,8 @@
         self._builder = builder
         first = build_full_list(servers, ())
         self._first_rows = {(entry.server, entry.replacements): self._row(entry) for entry in first}
-        self.full_list = lru_cache(KEPT_LISTS)(self._full_list)
-        self.delta = lru_cache(KEPT_CHANGES)(self._delta)
+        self.full_list = lru_cache(MAX_CACHED_LISTS)(self._full_list)
+        self.delta = lru_cache(MAX_CACHED_DELTAS)(self._delta)
 
     def _full_list(self, generation: int) -> bytes:
         """The body of the whole list of a generation."""
--- a/emulator/fleet/discovery_list.py
+++ b/emulator/fleet/discovery_list.py
@@ -73,7 +73,7 @@
     entry: ListEntry
 
 
-class Span:
+class TimeSpan:
     """A stretch of time in which something is cut off."""
 
     def __init__(self, begin_s: float, end_s: float) -> None:
@@ -113,19 +113,19 @@
 
     def __init__(self, schedule: ListSchedule) -> None:
         self._schedule = schedule
-        self._told: list[dict[int, list[tuple[float, Lifecycle]]]] = []
+        self._changes_by_server: list[dict[int, list[tuple[float, Lifecycle]]]] = []
         for versions in schedule.versions:
-            told = defaultdict(list)
+            changes = defaultdict(list)
             for version in versions:
                 for entry in version.entries:
-                    told[entry.server].append((version.release_s, entry.lifecycle))
-            self._told.append(dict(told))
+                    changes[entry.server].append((version.release_s, entry.lifecycle))
+            self._changes_by_server.append(dict(changes))
 
     def lifecycle_at(self, balancer: int, server: int, at_s: float) -> Lifecycle:
         """The lifecycle of the server that the agent of the balancer tells at the time."""
         region = self._schedule.layout.balancer_region(balancer)
         lifecycle = Lifecycle.ACTIVE
-        for release_s, later in self._told[region].get(server, ()):
+        for release_s, later in self._changes_by_server[region].get(server, ()):
             if self._schedule.visible_at_s(balancer, release_s) > at_s:
                 break
             lifecycle = later
@@ -184,7 +184,7 @@
     service: DiscoveryService,
     changes: Iterable[_Change],
     region: int,
-    splits: dict[frozenset[int], list[Span]],
+    splits: dict[frozenset[int], list[TimeSpan]],
 ) -> list[ListVersion]:
     by_release: dict[float, list[ListEntry]] = defaultdict(list)
     for change in changes:
@@ -200,28 +200,28 @@
     ]
 
 
-def _splits(timeline: Sequence[events.Event], end_s: float) -> dict[frozenset[int], list[Span]]:
-    splits: dict[frozenset[int], list[Span]] = defaultdict(list)
+def _splits(timeline: Sequence[events.Event], end_s: float) -> dict[frozenset[int], list[TimeSpan]]:
+    splits: dict[frozenset[int], list[TimeSpan]] = defaultdict(list)
     for event in timeline:
         if isinstance(event, events.RegionsSplit):
-            splits[frozenset(event.regions)].append(Span(event.at_s, end_s))
+            splits[frozenset(event.regions)].append(TimeSpan(event.at_s, end_s))
         elif isinstance(event, events.RegionsHealed):
             _close(splits[frozenset(event.regions)], event.at_s)
     return splits
 
 
-def _outages(timeline: Sequence[events.Event], end_s: float) -> dict[int, list[Span]]:
-    outages: dict[int, list[Span]] = defaultdict(list)
+def _outages(timeline: Sequence[events.Event], end_s: float) -> dict[int, list[TimeSpan]]:
+    outages: dict[int, list[TimeSpan]] = defaultdict(list)
     for event in timeline:
         if isinstance(event, events.DiscoverySilenced):
             for region in event.regions:
-                outages[region].append(Span(event.at_s, end_s))
+                outages[region].append(TimeSpan(event.at_s, end_s))
         elif isinstance(event, events.DiscoveryReturned):
             for region in event.regions:
                 _close(outages[region], event.at_s)
     return outages
 
 
-def _close(spans: list[Span], at_s: float) -> None:
+def _close(spans: list[TimeSpan], at_s: float) -> None:
     for span in spans:
         span.end_s = min(span.end_s, at_s)
--- a/emulator/fleet/discovery_measures.py
+++ b/emulator/fleet/discovery_measures.py
@@ -7,7 +7,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-LEAST_US, MOST_US, DIGITS = 1, 120_000_000, 3
+MIN_DELAY_US, MAX_DELAY_US, SIGNIFICANT_DIGITS = 1, 120_000_000, 3
 
 
 class Propagation(msgspec.Struct, frozen=True):
@@ -59,12 +59,12 @@
 
     def __init__(self) -> None:
         self.released = self.acknowledged = self.superseded = 0
-        self.histogram = HdrHistogram(LEAST_US, MOST_US, DIGITS)
+        self.histogram = HdrHistogram(MIN_DELAY_US, MAX_DELAY_US, SIGNIFICANT_DIGITS)
 
     def acknowledge(self, delay_s: float) -> None:
         """One balancer has acknowledged one change."""
         self.acknowledged += 1
-        self.histogram.record_value(min(MOST_US, max(LEAST_US, round(delay_s * 1e6))))
+        self.histogram.record_value(min(MAX_DELAY_US, max(MIN_DELAY_US, round(delay_s * 1e6))))
 
     def summary(self, pending: int) -> Propagation:
         """The counts as a message."""
@@ -79,7 +79,7 @@
         )
 
 
-class Series:
+class PropagationSeries:
     """One kind of balancer: the present second, and the whole run."""
 
     def __init__(self) -> None:
@@ -112,17 +112,17 @@
         return summary
 
 
-class Acknowledgements:
+class AcknowledgementTracker:
     """The changes that one balancer has been told of and has not acknowledged."""
 
-    def __init__(self, series: Series) -> None:
+    def __init__(self, series: PropagationSeries) -> None:
         self._series = series
         self._pending: deque[tuple[int, float]] = deque()  # generation, time of release
-        self._listening = False
+        self._has_called = False
 
-    def called(self, generation: int | None, now_s: float) -> None:
+    def handle_call(self, generation: int | None, now_s: float) -> None:
         """The balancer called; with a generation it acknowledges everything up to it."""
-        self._listening = True
+        self._has_called = True
         while generation is not None and self._pending and self._pending[0][0] <= generation:
             _, released_s = self._pending.popleft()
             self._series.acknowledged(now_s - released_s)
@@ -130,13 +130,13 @@
     def release(self, generation: int, now_s: float) -> None:
         """There is one more change to tell; one that comes before the first call is superseded by it."""
         self._series.released()
-        if self._listening:
+        if self._has_called:
             self._pending.append((generation, now_s))
         else:
             self._series.superseded(1)
 
-    def restarted(self) -> None:
+    def handle_balancer_restart(self) -> None:
         """The balancer is gone with all that it knew."""
         self._series.superseded(len(self._pending))
         self._pending.clear()
-        self._listening = False
+        self._has_called = False
--- a/emulator/fleet/http_client.py
+++ b/emulator/fleet/http_client.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HttpAnswer:
+class HttpResponse:
     """A whole answer."""
 
     status: int
@@ -21,35 +21,35 @@
     body: bytes
 
 
-AnswerReceived = Callable[[HttpAnswer | None], None]  # None: the connection broke before a whole answer
+ResponseCallback = Callable[[HttpResponse | None], None]  # None: the connection broke before a whole answer
 
 
-class HttpConnection(asyncio.Protocol):
+class HttpClientConnection(asyncio.Protocol):
     """One connection to one balancer."""
 
-    def __init__(self, released: Callable[[HttpConnection], None]) -> None:
-        self.usable = False
-        self._released = released
+    def __init__(self, on_idle: Callable[[HttpClientConnection], None]) -> None:
+        self.is_usable = False
+        self._on_idle = on_idle
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._received: AnswerReceived | None = None
+        self._on_response: ResponseCallback | None = None
         self._retry_after_s = 0.0
         self._body = bytearray()
 
-    def request(self, message: bytes, received: AnswerReceived) -> None:
+    def send_request(self, message: bytes, on_response: ResponseCallback) -> None:
         """Send a request; `received` is called once."""
-        assert self._transport is not None and self._received is None
-        self._received = received
+        assert self._transport is not None and self._on_response is None
+        self._on_response = on_response
         self._transport.write(message)
 
-    def abandon(self) -> None:
+    def cancel_request(self) -> None:
         """Close it without waiting for the answer; nothing is called back."""
-        self._received = None
+        self._on_response = None
         self.close()
 
     def close(self) -> None:
         """Hang up."""
-        self.usable = False
+        self.is_usable = False
         if self._transport is not None:
             self._transport.abort()
 
@@ -58,7 +58,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Protocol callback."""
         self._transport = cast(asyncio.Transport, transport)
-        self.usable = True
+        self.is_usable = True
 
     def data_received(self, data: bytes) -> None:
         """Protocol callback."""
@@ -70,7 +70,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Protocol callback."""
-        self.usable = False
+        self.is_usable = False
         self._finish(None)
 
     # ---- callbacks of the parser ----
@@ -91,18 +91,18 @@
 
     def on_message_complete(self) -> None:
         """Parser callback."""
-        answer = HttpAnswer(self._parser.get_status_code(), self._retry_after_s, bytes(self._body))
-        self.usable = self.usable and self._parser.should_keep_alive()
-        if self.usable:
-            self._released(self)
+        response = HttpResponse(self._parser.get_status_code(), self._retry_after_s, bytes(self._body))
+        self.is_usable = self.is_usable and self._parser.should_keep_alive()
+        if self.is_usable:
+            self._on_idle(self)
         else:
             self.close()
-        self._finish(answer)
+        self._finish(response)
 
-    def _finish(self, answer: HttpAnswer | None) -> None:
-        received, self._received = self._received, None
-        if received is not None:
-            received(answer)
+    def _finish(self, response: HttpResponse | None) -> None:
+        on_response, self._on_response = self._on_response, None
+        if on_response is not None:
+            on_response(response)
 
 
 class ConnectionPool:
@@ -111,23 +111,23 @@
     def __init__(self, address: Address) -> None:
         self.address = address
         self.open = 0
-        self._idle: list[HttpConnection] = []
+        self._idle: list[HttpClientConnection] = []
 
-    async def take(self) -> HttpConnection:
+    async def acquire(self) -> HttpClientConnection:
         """An idle connection or a new one; OSError if none comes up."""
         while self._idle:
             connection = self._idle.pop()
-            if connection.usable:
+            if connection.is_usable:
                 return connection
         loop = asyncio.get_running_loop()
         _, connection = await loop.create_connection(
-            lambda: HttpConnection(self._idle.append), self.address.host, self.address.port
+            lambda: HttpClientConnection(self._idle.append), self.address.host, self.address.port
         )
         return connection
 
-    def idle_connections(self) -> int:
+    def idle_count(self) -> int:
         """How many are open and unused."""
-        self._idle = [connection for connection in self._idle if connection.usable]
+        self._idle = [connection for connection in self._idle if connection.is_usable]
         return len(self._idle)
 
     def close(self) -> None:
--- a/emulator/fleet/photo_server_batch.py
+++ b/emulator/fleet/photo_server_batch.py
@@ -9,10 +9,10 @@
 import msgspec
 
 from emulator.fleet.contract import AttemptBatch, Result, ResultBatch, encode_frame, split_frames
-from emulator.fleet.photo_server_group import Attempted, PhotoServerGroup
+from emulator.fleet.photo_server_group import TrackedAttempt, PhotoServerGroup
 
-MAX_RECEIVED = 16 * 1024 * 1024  # bytes of a batch that is not whole yet
-FORGET_S = 1.0  # after its time-out, an attempt is not kept for a cancel any more
+MAX_UNPARSED_BYTES = 16 * 1024 * 1024  # bytes of a batch that is not whole yet
+CANCEL_RETENTION_S = 1.0  # after its time-out, an attempt is not kept for a cancel any more
 
 
 class BatchConnection(asyncio.Protocol):
@@ -22,16 +22,16 @@
         self,
         group: PhotoServerGroup,
         now_s: Callable[[], float],
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
         connections: set[BatchConnection],
     ) -> None:
         self._group = group
         self._now_s = now_s
-        self._changed = changed  # to be called when there may be new deadlines or results
+        self._on_change = on_change  # to be called when there may be new deadlines or results
         self._connections = connections
         self._decoder: msgspec.msgpack.Decoder[AttemptBatch] = msgspec.msgpack.Decoder(AttemptBatch)
         self._received = bytearray()
-        self._open: dict[int, Attempted] = {}
+        self._open_attempts: dict[int, TrackedAttempt] = {}
         self._results: list[Result] = []
         self._transport: asyncio.Transport | None = None
 
@@ -44,25 +44,25 @@
         """Part of asyncio.Protocol: the process is gone, and nobody waits for its attempts any more."""
         self._transport = None
         self._connections.discard(self)
-        for attempt in self._open.values():
+        for attempt in self._open_attempts.values():
             self._group.cancel(attempt)
-        self._open.clear()
+        self._open_attempts.clear()
 
     def data_received(self, data: bytes) -> None:
         """Part of asyncio.Protocol."""
         self._received += data
         try:
             for body in split_frames(self._received):
-                self._take(self._decoder.decode(body))
+                self._handle_batch(self._decoder.decode(body))
         except msgspec.DecodeError:
             self.abort()
-        if len(self._received) > MAX_RECEIVED:
+        if len(self._received) > MAX_UNPARSED_BYTES:
             self.abort()
-        self._changed()
+        self._on_change()
 
-    def deliver(self, attempt: Attempted) -> None:
+    def deliver(self, attempt: TrackedAttempt) -> None:
         """Part of `Reply`."""
-        if self._open.pop(attempt.number, None) is not None and attempt.outcome is not None:
+        if self._open_attempts.pop(attempt.number, None) is not None and attempt.outcome is not None:
             service_us = int(attempt.service_s * 1e6)
             name = attempt.outcome.name
             self._results.append(Result(attempt.number, name, attempt.in_flight, service_us))
@@ -75,17 +75,21 @@
 
     def forget_expired(self, now_s: float) -> None:
         """Keep no attempt that its balancer has long given up."""
-        expired = [number for number, attempt in self._open.items() if attempt.expires_s < now_s - FORGET_S]
+        expired = [
+            number
+            for number, attempt in self._open_attempts.items()
+            if attempt.deadline_s < now_s - CANCEL_RETENTION_S
+        ]
         for number in expired:
-            self._group.cancel(self._open.pop(number))
+            self._group.cancel(self._open_attempts.pop(number))
 
-    def _take(self, batch: AttemptBatch) -> None:
+    def _handle_batch(self, batch: AttemptBatch) -> None:
         now_s = self._now_s()
         for attempt in batch.attempts:
-            if not self._group.hosts(attempt.server, attempt.balancer):
+            if not self._group.is_known_pair(attempt.server, attempt.balancer):
                 self.abort()
                 return
-            self._open[attempt.number] = self._group.submit(
+            self._open_attempts[attempt.number] = self._group.submit(
                 now_s,
                 self,
                 attempt.number,
@@ -95,7 +99,7 @@
                 attempt.wait_us / 1e6,
             )
         for number in batch.cancelled:
-            cancelled = self._open.pop(number, None)
+            cancelled = self._open_attempts.pop(number, None)
             if cancelled is not None:
                 self._group.cancel(cancelled)
 
--- a/emulator/fleet/photo_server_connections.py
+++ b/emulator/fleet/photo_server_connections.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 
-class Pair:
+class BalancerConnections:
     """The connections between one balancer and one server."""
 
-    __slots__ = ("in_use", "idle", "used_s")
+    __slots__ = ("in_use", "idle", "last_used_s")
 
     def __init__(self) -> None:
         self.in_use = 0
         self.idle = 0
-        self.used_s = 0.0
+        self.last_used_s = 0.0
 
     def count(self) -> int:
         """All of them."""
@@ -21,59 +21,67 @@
 class ConnectionTable:
     """All connections of one server."""
 
-    __slots__ = ("open", "most", "_pairs", "_keepalive_s")
+    __slots__ = ("open_count", "peak_count", "_by_balancer", "_keepalive_s")
 
     def __init__(self, keepalive_s: float) -> None:
-        self.open = 0
-        self.most = 0
-        self._pairs: dict[int, Pair] = {}
+        self.open_count = 0
+        self.peak_count = 0
+        self._by_balancer: dict[int, BalancerConnections] = {}
         self._keepalive_s = keepalive_s
 
-    def has_idle(self, balancer: int, now_s: float) -> bool:
+    def has_idle_connection(self, balancer: int, now_s: float) -> bool:
         """Whether the balancer has a connection on which nothing is out and that is not too old."""
-        pair = self._pairs.get(balancer)
-        return pair is not None and pair.idle > 0 and now_s - pair.used_s < self._keepalive_s
-
-    def take(self, balancer: int, now_s: float) -> bool:
+        connections = self._by_balancer.get(balancer)
+        return (
+            connections is not None
+            and connections.idle > 0
+            and now_s - connections.last_used_s < self._keepalive_s
+        )
+
+    def acquire(self, balancer: int, now_s: float) -> bool:
         """Use an idle connection or open one; whether it is a new one."""
-        pair = self._pairs.get(balancer)
-        if pair is None:
-            pair = self._pairs[balancer] = Pair()
-        elif now_s - pair.used_s >= self._keepalive_s:
-            self.open -= pair.idle
-            pair.idle = 0
-        pair.used_s = now_s
-        pair.in_use += 1
-        if pair.idle:
-            pair.idle -= 1
+        connections = self._by_balancer.get(balancer)
+        if connections is None:
+            connections = self._by_balancer[balancer] = BalancerConnections()
+        elif now_s - connections.last_used_s >= self._keepalive_s:
+            self.open_count -= connections.idle
+            connections.idle = 0
+        connections.last_used_s = now_s
+        connections.in_use += 1
+        if connections.idle:
+            connections.idle -= 1
             return False
-        self.opened()
+        self.count_opened()
         return True
 
-    def give_back(self, balancer: int, now_s: float, *, keep: bool) -> None:
+    def release(self, balancer: int, now_s: float, *, keep: bool) -> None:
         """An attempt has ended; its connection stays idle, or is closed."""
-        pair = self._pairs.get(balancer)
-        if pair is None or not pair.in_use:
+        connections = self._by_balancer.get(balancer)
+        if connections is None or not connections.in_use:
             return  # all were closed in the meantime
-        pair.in_use -= 1
-        pair.used_s = now_s
+        connections.in_use -= 1
+        connections.last_used_s = now_s
         if keep:
-            pair.idle += 1
+            connections.idle += 1
         else:
-            self.open -= 1
+            self.open_count -= 1
 
-    def opened(self) -> None:
+    def count_opened(self) -> None:
         """Count one more connection."""
-        self.open += 1
-        self.most = max(self.most, self.open)
+        self.open_count += 1
+        self.peak_count = max(self.peak_count, self.open_count)
 
     def close_all(self) -> None:
         """The process has ended, and all its connections with it."""
-        self.open -= sum(pair.count() for pair in self._pairs.values())
-        self._pairs.clear()
+        self.open_count -= sum(connections.count() for connections in self._by_balancer.values())
+        self._by_balancer.clear()
 
-    def expire(self, now_s: float) -> None:
+    def close_idle(self, now_s: float) -> None:
         """Close what has not been used for the keepalive time, also what was never answered."""
-        old = [balancer for balancer, pair in self._pairs.items() if now_s - pair.used_s >= self._keepalive_s]
+        old = [
+            balancer
+            for balancer, connections in self._by_balancer.items()
+            if now_s - connections.last_used_s >= self._keepalive_s
+        ]
         for balancer in old:
-            self.open -= self._pairs.pop(balancer).count()
+            self.open_count -= self._by_balancer.pop(balancer).count()
--- a/emulator/fleet/photo_server_group.py
+++ b/emulator/fleet/photo_server_group.py
@@ -10,55 +10,55 @@
 from emulator.fleet import timeline as events
 from emulator.fleet.discovery_list import AnnouncedLifecycles, ListSchedule
 from emulator.fleet.layout import Layout
-from emulator.fleet.photo_server import CONNECT_FAILED, FALLEN, FULL, OK, RESET, RUNNING, VANISHED
-from emulator.fleet.photo_server import Fall, Job, PhotoServer, ServerCounts, State
+from emulator.fleet.photo_server import CONNECT_FAILED, CRASHED, FULL, OK, RESET, RUNNING, UNREACHABLE
+from emulator.fleet.photo_server import OverloadCrash, ServerJob, PhotoServer, ServerCounts, PhotoServerState
 from emulator.fleet.photo_server_connections import ConnectionTable
 from emulator.fleet.photo_server_measures import AttemptCounts, FallMeasure, PhotoServersSecond
 from emulator.fleet.photo_server_measures import PhotoServersTotal, difference
 from emulator.fleet.scenario import Scenario
 from emulator.fleet.settings_for_balancers import CONNECT_TIMEOUT_S, DRAIN_GRACE_S, KEEPALIVE_S
 
-SOCKET_SLACK_S = 0.05  # by which every time limit is longer on sockets
-TIMER_GRAIN_S = 0.0005  # an answer that takes less than this to come back comes at once
-SWEEP_PARTS = 8  # the tables of so many parts of the servers are swept in turn, one each second
+SOCKET_MARGIN_S = 0.05  # by which every time limit is longer on sockets
+MIN_TIMER_DELAY_S = 0.0005  # an answer that takes less than this to come back comes at once
+SWEEP_PARTITIONS = 8  # the tables of so many parts of the servers are swept in turn, one each second
 
 ARRIVE, FINISH, RETURN = range(3)  # kinds of deadlines
 
 # One deadline: time, order of adding, kind, job, and for a finish its server and plan.
-Deadline = tuple[float, int, int, "Attempted", PhotoServer | None, int]
+Deadline = tuple[float, int, int, "TrackedAttempt", PhotoServer | None, int]
 
 
-class Reply(Protocol):
+class ResultReceiver(Protocol):
     """Where the ends of attempts go."""
 
-    def deliver(self, attempt: Attempted) -> None:
+    def deliver(self, attempt: TrackedAttempt) -> None:
         """The answer has come back to the balancer; `outcome` and the report are set."""
 
 
-class Attempted(Job):
+class TrackedAttempt(ServerJob):
     """One attempt on its way to a server, there, and on its way back."""
 
     __slots__ = (
-        "reply",
+        "receiver",
         "number",
-        "delay_s",
+        "one_way_delay_s",
         "sent_s",
         "outcome",
         "in_flight",
         "service_s",
         "over_http",
-        "lost",
+        "is_lost",
     )
 
-    reply: Reply
+    receiver: ResultReceiver
     number: int  # as the sender knows it
-    delay_s: float  # one way
+    one_way_delay_s: float  # one way
     sent_s: float
     outcome: Outcome | None
     in_flight: int
     service_s: float
     over_http: bool  # its connection is a real one
-    lost: bool  # nothing will come back
+    is_lost: bool  # nothing will come back
 
 
 class PhotoServerGroup:
@@ -78,36 +78,36 @@
         self.counts = AttemptCounts()
         self.server_counts = ServerCounts()
         self.servers: dict[int, PhotoServer] = {}
-        self.tables: dict[int, ConnectionTable] = {}
+        self.connection_tables: dict[int, ConnectionTable] = {}
         self.now_s = 0.0
-        self.late_s = 0.0
+        self.max_late_s = 0.0
         self._balancer_zones = layout.balancer_zones
-        self._told = AnnouncedLifecycles(ListSchedule(scenario, layout, timeline, seed))
+        self._announced = AnnouncedLifecycles(ListSchedule(scenario, layout, timeline, seed))
         self._heap: list[Deadline] = []
         self._added = 0
         self._splits: set[frozenset[int]] = set()
         self._reported = AttemptCounts()
         self._reported_falls = 0
         self._second_late_s = 0.0
-        self._swept = 0
+        self._sweep_index = 0
         mean_work_s = scenario.mean_work_s()
         for place in layout.servers[index::processes]:
             limit = scenario.servers.queue_per_core * place.cores
             self.servers[place.number] = PhotoServer(
                 place, scenario.cold_start, limit, mean_work_s, self, self.server_counts
             )
-            self.tables[place.number] = ConnectionTable(KEEPALIVE_S)
+            self.connection_tables[place.number] = ConnectionTable(KEEPALIVE_S)
 
     # ---- attempts ----
 
-    def hosts(self, server: int, balancer: int) -> bool:
+    def is_known_pair(self, server: int, balancer: int) -> bool:
         """Whether the server is one of this process's, and the balancer one of the fleet's."""
         return server in self.servers and 0 <= balancer < len(self._balancer_zones)
 
     def submit(
         self,
         now_s: float,
-        reply: Reply,
+        receiver: ResultReceiver,
         number: int,
         server: int,
         balancer: int,
@@ -115,35 +115,35 @@
         wait_s: float,
         *,
         over_http: bool = False,
-    ) -> Attempted:
+    ) -> TrackedAttempt:
         """A balancer sends an attempt now; `reply` hears of its end, unless that is silent."""
         hosted = self.servers[server]
-        attempt = Attempted(server, balancer, work_s, now_s + wait_s, self._ended)
-        attempt.reply, attempt.number, attempt.over_http = reply, number, over_http
-        attempt.sent_s, attempt.outcome, attempt.lost = now_s, None, False
+        attempt = TrackedAttempt(server, balancer, work_s, now_s + wait_s, self._on_job_end)
+        attempt.receiver, attempt.number, attempt.over_http = receiver, number, over_http
+        attempt.sent_s, attempt.outcome, attempt.is_lost = now_s, None, False
         attempt.in_flight, attempt.service_s = 0, 0.0
         zone = self._balancer_zones[balancer]
-        attempt.delay_s = self.layout.delays_s[zone][hosted.place.zone]
+        attempt.one_way_delay_s = self.layout.delays_s[zone][hosted.place.zone]
         self.counts.attempts += 1
         self.counts.http += over_http
-        if hosted.state is VANISHED or (self._splits and self._is_cut(attempt)):
-            self._send_into_silence(now_s, attempt)
+        if hosted.state is UNREACHABLE or (self._splits and self._crosses_split(attempt)):
+            self._submit_to_unreachable(now_s, attempt)
             return attempt
-        arrival_s = now_s + attempt.delay_s
-        if not over_http and self.tables[server].take(balancer, now_s):
-            arrival_s += 2 * attempt.delay_s  # a new connection comes up first
+        arrival_s = now_s + attempt.one_way_delay_s
+        if not over_http and self.connection_tables[server].acquire(balancer, now_s):
+            arrival_s += 2 * attempt.one_way_delay_s  # a new connection comes up first
         self._push(arrival_s, ARRIVE, attempt)
         return attempt
 
-    def cancel(self, attempt: Attempted) -> None:
+    def cancel(self, attempt: TrackedAttempt) -> None:
         """The balancer has given up the attempt: by a cancel or by a time-out."""
-        if attempt.outcome is not None or attempt.abandoned:
+        if attempt.outcome is not None or attempt.is_cancelled:
             return
-        self.counts.cancelled += not attempt.lost
+        self.counts.cancelled += not attempt.is_lost
         self.servers[attempt.server].cancel(attempt)
-        attempt.abandoned = True
+        attempt.is_cancelled = True
         if not attempt.over_http:
-            self.tables[attempt.server].give_back(attempt.balancer, self.now_s, keep=False)
+            self.connection_tables[attempt.server].release(attempt.balancer, self.now_s, keep=False)
 
     # ---- time ----
 
@@ -157,20 +157,20 @@
         if heap:
             self._second_late_s = max(self._second_late_s, now_s - heap[0][0])
         while heap and heap[0][0] <= now_s:
-            at_s, _, kind, attempt, server, plan = heapq.heappop(heap)
+            at_s, _, kind, attempt, server, finish_version = heapq.heappop(heap)
             self.now_s = at_s
             if kind == ARRIVE:
                 self._arrive(at_s, attempt)
             elif kind == RETURN:
-                self._return(attempt)
+                self._deliver(attempt)
             elif server is not None:
-                server.finish(at_s, attempt, plan)
+                server.finish(at_s, attempt, finish_version)
         self.now_s = now_s
 
-    def plan_finish(self, at_s: float, server: PhotoServer, job: Job, plan: int) -> None:
+    def schedule_finish(self, at_s: float, server: PhotoServer, job: ServerJob, finish_version: int) -> None:
         """Part of `Planner`."""
-        assert isinstance(job, Attempted)
-        self._push(at_s, FINISH, job, server, plan)
+        assert isinstance(job, TrackedAttempt)
+        self._push(at_s, FINISH, job, server, finish_version)
 
     def apply(self, event: events.Event) -> None:
         """One event of the timeline happens, at its own time."""
@@ -187,14 +187,14 @@
             case events.ServersStopped():
                 for server in self._hosted(event.servers):
                     server.stop(at_s)
-                    self.tables[server.place.number].close_all()
+                    self.connection_tables[server.place.number].close_all()
             case events.ServersVanished():
                 for server in self._hosted(event.servers):
-                    server.vanish(at_s)
+                    server.become_unreachable(at_s)
             case events.ServersStarted():
                 for server in self._hosted(event.servers):
                     server.start(at_s)
-                    self.tables[server.place.number].close_all()
+                    self.connection_tables[server.place.number].close_all()
             case events.ServersSlowed():
                 for server in self._hosted(event.servers):
                     server.slow_down(at_s, event.factor)
@@ -207,12 +207,16 @@
 
     # ---- measures ----
 
-    def second(self, at_s: float) -> PhotoServersSecond:
+    def take_second(self, at_s: float) -> PhotoServersSecond:
         """What happened since the last call, and what is there now."""
-        self._sweep(at_s)
+        self._close_idle_connections(at_s)
         totals = self._totals()
-        up = [server for server in self.servers.values() if server.state in (State.RUNNING, State.DRAINING)]
-        falls = self.server_counts.falls[self._reported_falls :]
+        up = [
+            server
+            for server in self.servers.values()
+            if server.state in (PhotoServerState.RUNNING, PhotoServerState.DRAINING)
+        ]
+        falls = self.server_counts.crashes[self._reported_falls :]
         measures = PhotoServersSecond(
             index=self.index,
             at_s=at_s,
@@ -221,80 +225,85 @@
             busy_cores=sum(server.busy_cores() for server in up),
             cores=sum(server.place.cores for server in up),
             servers_up=len(up),
-            connections=sum(table.open for table in self.tables.values()),
+            connections=sum(table.open_count for table in self.connection_tables.values()),
             most_connections=self._most_connections(),
             falls=tuple(map(_fall_measure, falls)),
             late_ms=self._second_late_s * 1e3,
         )
-        self._reported, self._reported_falls = totals, len(self.server_counts.falls)
-        self.late_s, self._second_late_s = max(self.late_s, self._second_late_s), 0.0
+        self._reported, self._reported_falls = totals, len(self.server_counts.crashes)
+        self.max_late_s, self._second_late_s = max(self.max_late_s, self._second_late_s), 0.0
         return measures
 
-    def total(self, at_s: float) -> PhotoServersTotal:
+    def summarize_run(self, at_s: float) -> PhotoServersTotal:
         """What happened over the whole run."""
         return PhotoServersTotal(
             index=self.index,
             at_s=at_s,
             counts=self._totals(),
             most_connections=self._most_connections(),
-            falls=tuple(map(_fall_measure, self.server_counts.falls)),
-            late_ms=max(self.late_s, self._second_late_s) * 1e3,
+            falls=tuple(map(_fall_measure, self.server_counts.crashes)),
+            late_ms=max(self.max_late_s, self._second_late_s) * 1e3,
         )
 
     # ---- inside ----
 
     def _push(
-        self, at_s: float, kind: int, attempt: Attempted, server: PhotoServer | None = None, plan: int = 0
+        self,
+        at_s: float,
+        kind: int,
+        attempt: TrackedAttempt,
+        server: PhotoServer | None = None,
+        finish_version: int = 0,
     ) -> None:
         self._added += 1
-        heapq.heappush(self._heap, (at_s, self._added, kind, attempt, server, plan))
+        heapq.heappush(self._heap, (at_s, self._added, kind, attempt, server, finish_version))
 
     def _hosted(self, numbers: Sequence[int]) -> list[PhotoServer]:
         return [self.servers[number] for number in numbers if number in self.servers]
 
-    def _is_cut(self, attempt: Attempted) -> bool:
+    def _crosses_split(self, attempt: TrackedAttempt) -> bool:
         here = self.layout.balancer_region(attempt.balancer)
         there = self.layout.servers[attempt.server].region
         return frozenset((here, there)) in self._splits
 
-    def _send_into_silence(self, now_s: float, attempt: Attempted) -> None:
+    def _submit_to_unreachable(self, now_s: float, attempt: TrackedAttempt) -> None:
         """On an open connection nothing comes back; a new one does not come up in time."""
-        table = self.tables[attempt.server]
-        if attempt.over_http or table.has_idle(attempt.balancer, now_s):
+        table = self.connection_tables[attempt.server]
+        if attempt.over_http or table.has_idle_connection(attempt.balancer, now_s):
             if not attempt.over_http:
-                table.take(attempt.balancer, now_s)
-            self._lose(attempt)
+                table.acquire(attempt.balancer, now_s)
+            self._mark_lost(attempt)
             return
         attempt.outcome = CONNECT_FAILED
         self.counts.connect_failed += 1
         self._push(now_s + CONNECT_TIMEOUT_S, RETURN, attempt)
 
-    def _arrive(self, at_s: float, attempt: Attempted) -> None:
-        if attempt.abandoned:
+    def _arrive(self, at_s: float, attempt: TrackedAttempt) -> None:
+        if attempt.is_cancelled:
             self.server_counts.dropped += 1
             return
         server = self.servers[attempt.server]
         if server.state is not RUNNING:
-            self._check_told(attempt)
-        outcome = server.offer(at_s, attempt)
+            self._count_if_after_drain(attempt)
+        outcome = server.handle_arrival(at_s, attempt)
         if outcome is not None:
-            self._ended(attempt, outcome, server)
-            if server.state is FALLEN:
-                self.tables[attempt.server].close_all()
-        elif server.state is VANISHED:
-            self._lose(attempt)
-
-    def _lose(self, attempt: Attempted) -> None:
-        attempt.lost = True
+            self._on_job_end(attempt, outcome, server)
+            if server.state is CRASHED:
+                self.connection_tables[attempt.server].close_all()
+        elif server.state is UNREACHABLE:
+            self._mark_lost(attempt)
+
+    def _mark_lost(self, attempt: TrackedAttempt) -> None:
+        attempt.is_lost = True
         self.counts.lost += 1
 
-    def _check_told(self, attempt: Attempted) -> None:
-        grace_s = DRAIN_GRACE_S + SOCKET_SLACK_S
-        late = self._told.should_have_stopped(attempt.balancer, attempt.server, attempt.sent_s, grace_s)
+    def _count_if_after_drain(self, attempt: TrackedAttempt) -> None:
+        grace_s = DRAIN_GRACE_S + SOCKET_MARGIN_S
+        late = self._announced.should_have_stopped(attempt.balancer, attempt.server, attempt.sent_s, grace_s)
         self.counts.after_drain_told += late
 
-    def _ended(self, job: Job, outcome: Outcome, server: PhotoServer) -> None:
-        assert isinstance(job, Attempted)
+    def _on_job_end(self, job: ServerJob, outcome: Outcome, server: PhotoServer) -> None:
+        assert isinstance(job, TrackedAttempt)
         job.outcome, job.in_flight, job.service_s = outcome, server.in_flight, server.service_s
         if outcome is OK:
             self.counts.ok += 1
@@ -306,24 +315,24 @@
             self.counts.connect_failed += 1
         if not job.over_http:
             keep = outcome is OK or outcome is FULL
-            self.tables[job.server].give_back(job.balancer, self.now_s, keep=keep)
-        if job.delay_s < TIMER_GRAIN_S:
-            self._return(job)
+            self.connection_tables[job.server].release(job.balancer, self.now_s, keep=keep)
+        if job.one_way_delay_s < MIN_TIMER_DELAY_S:
+            self._deliver(job)
         else:
-            self._push(self.now_s + job.delay_s, RETURN, job)
+            self._push(self.now_s + job.one_way_delay_s, RETURN, job)
 
-    def _return(self, attempt: Attempted) -> None:
-        if attempt.abandoned or (self._splits and self._is_cut(attempt)):
+    def _deliver(self, attempt: TrackedAttempt) -> None:
+        if attempt.is_cancelled or (self._splits and self._crosses_split(attempt)):
             return
-        attempt.reply.deliver(attempt)
+        attempt.receiver.deliver(attempt)
 
-    def _sweep(self, now_s: float) -> None:
-        self._swept = (self._swept + 1) % SWEEP_PARTS
-        for table in list(self.tables.values())[self._swept :: SWEEP_PARTS]:
-            table.expire(now_s)
+    def _close_idle_connections(self, now_s: float) -> None:
+        self._sweep_index = (self._sweep_index + 1) % SWEEP_PARTITIONS
+        for table in list(self.connection_tables.values())[self._sweep_index :: SWEEP_PARTITIONS]:
+            table.close_idle(now_s)
 
     def _most_connections(self) -> int:
-        return max((table.most for table in self.tables.values()), default=0)
+        return max((table.peak_count for table in self.connection_tables.values()), default=0)
 
     def _totals(self) -> AttemptCounts:
         totals = difference(self.counts, AttemptCounts())  # a copy
@@ -333,5 +342,5 @@
         return totals
 
 
-def _fall_measure(fall: Fall) -> FallMeasure:
+def _fall_measure(fall: OverloadCrash) -> FallMeasure:
     return FallMeasure(fall.server, fall.at_s, fall.balancers, fall.attempts, fall.budget)
--- a/emulator/fleet/photo_server_http.py
+++ b/emulator/fleet/photo_server_http.py
@@ -12,13 +12,13 @@
 
 from dykeshift.interface import Outcome
 from emulator.fleet.contract import Address
-from emulator.fleet.photo_server_group import Attempted, PhotoServerGroup
+from emulator.fleet.photo_server_group import TrackedAttempt, PhotoServerGroup
 from emulator.fleet.settings_for_balancers import LOAD_REPORT_FIELDS
 
 BACKLOG = 128
 DEFAULT_WAIT_S = 4.0  # for a request that does not tell its deadline
 NOT_FOUND = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
-NOT_RUN = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
+NOT_EXECUTED = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 
 
 class HttpContext:
@@ -29,21 +29,21 @@
         group: PhotoServerGroup,
         mean_work_s: float,
         now_s: Callable[[], float],
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
         self.group = group
         self.mean_work_s = mean_work_s
         self.now_s = now_s
-        self.changed = changed  # to be called when there may be new deadlines
+        self.on_change = on_change  # to be called when there may be new deadlines
 
 
-class Endpoint:
+class ServerEndpoint:
     """The socket of one photo server, and the connections to it."""
 
     def __init__(self, number: int, address: Address, context: HttpContext) -> None:
         self.number = number
         self.context = context
-        self.connections: set[HttpConnection] = set()
+        self.connections: set[HttpServerConnection] = set()
         self._address = address
         self._server: asyncio.Server | None = None
         self._black_hole: list[socket.socket] = []
@@ -53,7 +53,7 @@
         self._close_black_hole()
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: HttpConnection(self), self._address.host, self._address.port, backlog=BACKLOG
+            lambda: HttpServerConnection(self), self._address.host, self._address.port, backlog=BACKLOG
         )
 
     def stop(self) -> None:
@@ -63,7 +63,7 @@
         for connection in list(self.connections):
             connection.abort()
 
-    def vanish(self) -> None:
+    def become_unreachable(self) -> None:
         """The machine is gone: connections stay silent, new ones never come up."""
         self._close_server()
         self._open_black_hole()
@@ -91,15 +91,15 @@
         self._black_hole = []
 
 
-class HttpConnection(asyncio.Protocol):
+class HttpServerConnection(asyncio.Protocol):
     """One connection of a real balancer to a photo server; one request at a time."""
 
-    def __init__(self, endpoint: Endpoint) -> None:
+    def __init__(self, endpoint: ServerEndpoint) -> None:
         self._endpoint = endpoint
         self._context = endpoint.context
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
-        self._attempt: Attempted | None = None
+        self._attempt: TrackedAttempt | None = None
         self._target = b""
         self._headers: dict[bytes, bytes] = {}
 
@@ -114,13 +114,13 @@
         """Part of asyncio.Protocol."""
         self._transport = cast(asyncio.Transport, transport)
         self._endpoint.connections.add(self)
-        self._context.group.tables[self._endpoint.number].opened()
+        self._context.group.connection_tables[self._endpoint.number].count_opened()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Part of asyncio.Protocol: whoever closes gives up what is out on the connection."""
         self._transport = None
         self._endpoint.connections.discard(self)
-        self._context.group.tables[self._endpoint.number].open -= 1
+        self._context.group.connection_tables[self._endpoint.number].open_count -= 1
         if self._attempt is not None:
             self._context.group.cancel(self._attempt)
             self._attempt = None
@@ -157,11 +157,11 @@
             return
         context = self._context
         now_s = context.now_s()
-        wait_s = _number(self._headers.get(b"x-deadline-ms"), DEFAULT_WAIT_S * 1e3) / 1e3
+        wait_s = _parse_number(self._headers.get(b"x-deadline-ms"), DEFAULT_WAIT_S * 1e3) / 1e3
         query = parse_qs(self._target.partition(b"?")[2])
         work_us = self._headers.get(b"x-work-us") or query.get(b"work_us", [b""])[0]
-        balancer = int(_number(query.get(b"balancer", [b""])[0], 0.0))
-        if not context.group.hosts(self._endpoint.number, balancer):
+        balancer = int(_parse_number(query.get(b"balancer", [b""])[0], 0.0))
+        if not context.group.is_known_pair(self._endpoint.number, balancer):
             balancer = 0
         self._attempt = context.group.submit(
             now_s,
@@ -169,27 +169,27 @@
             0,
             self._endpoint.number,
             balancer,
-            _number(work_us, context.mean_work_s * 1e6) / 1e6,
+            _parse_number(work_us, context.mean_work_s * 1e6) / 1e6,
             wait_s,
             over_http=True,
         )
-        context.changed()
+        context.on_change()
 
     # ---- the answer ----
 
-    def deliver(self, attempt: Attempted) -> None:
+    def deliver(self, attempt: TrackedAttempt) -> None:
         """Part of `Reply`."""
         if attempt is not self._attempt or self._transport is None:
             return
         self._attempt = None
         if attempt.outcome is Outcome.OK:
-            self._transport.write(self._served(attempt))
+            self._transport.write(self._encode_ok(attempt))
         elif attempt.outcome is Outcome.FULL:
-            self._transport.write(NOT_RUN)
+            self._transport.write(NOT_EXECUTED)
         else:
             self.abort()
 
-    def _served(self, attempt: Attempted) -> bytes:
+    def _encode_ok(self, attempt: TrackedAttempt) -> bytes:
         held_us = int((self._context.now_s() - attempt.sent_s) * 1e6)
         request_id = self._headers[b"x-request-id"]
         body = b'{"served":"%s","server":%d,"held_us":%d}' % (request_id, attempt.server, held_us)
@@ -202,6 +202,6 @@
         return head.encode() + body
 
 
-def _number(text: bytes | None, default: float) -> float:
+def _parse_number(text: bytes | None, default: float) -> float:
     """A whole number of a header or query; the default if it is missing or something else."""
     return float(text) if text and text.isdigit() else default
--- a/emulator/fleet/photo_server_process.py
+++ b/emulator/fleet/photo_server_process.py
@@ -10,17 +10,17 @@
 import sys
 
 from emulator.fleet import timeline as events
-from emulator.fleet.deadlines import Pacemaker
+from emulator.fleet.deadlines import DeadlineTimer
 from emulator.fleet.photo_server_batch import BatchConnection
 from emulator.fleet.photo_server_group import PhotoServerGroup
-from emulator.fleet.photo_server_http import Endpoint, HttpContext
+from emulator.fleet.photo_server_http import ServerEndpoint, HttpContext
 from emulator.fleet.process import ScenarioClock, FleetContext, run_child, print_message
 
 ROLE = "photo_server"
 BATCH_HOST = "127.0.0.1"
 
 
-class PhotoServerPart:
+class PhotoServerProcess:
     """The models of one process, their sockets and their measures."""
 
     def __init__(self, fleet: FleetContext) -> None:
@@ -32,14 +32,14 @@
         )
         context = HttpContext(self.group, scenario.mean_work_s(), self._now_s, self._rearm)
         self.endpoints = {
-            number: Endpoint(number, config.addresses.server_address(number), context)
+            number: ServerEndpoint(number, config.addresses.server_address(number), context)
             for number in self.group.servers
         }
         self.batch_connections: set[BatchConnection] = set()
         self.servers: list[asyncio.Server] = []
-        self.pacemaker: Pacemaker | None = None
-        self._known_falls = 0
-        self._listening: set[asyncio.Task[None]] = set()
+        self.deadline_timer: DeadlineTimer | None = None
+        self._handled_crash_count = 0
+        self._restart_tasks: set[asyncio.Task[None]] = set()
 
     async def listen(self) -> None:
         """Listen at every server's address, and for batches."""
@@ -58,8 +58,8 @@
     def start(self, clock: ScenarioClock) -> None:
         """Serve deadlines from here on."""
         self.clock = clock
-        self.pacemaker = Pacemaker(asyncio.get_running_loop(), clock.now_s, self)
-        self.pacemaker.rearm()
+        self.deadline_timer = DeadlineTimer(asyncio.get_running_loop(), clock.now_s, self)
+        self.deadline_timer.rearm()
 
     def apply(self, event: events.Event) -> None:
         """An event happens to the models and to their sockets."""
@@ -70,9 +70,9 @@
                     endpoint.stop()
             case events.ServersVanished():
                 for endpoint in self._hosted(event.servers):
-                    endpoint.vanish()
+                    endpoint.become_unreachable()
             case events.ServersStarted():
-                self._spawn_restart(self._hosted(event.servers))
+                self._start_restart(self._hosted(event.servers))
         self._flush()
         self._rearm()
 
@@ -89,17 +89,17 @@
         """Report one second."""
         for connection in self.batch_connections:
             connection.forget_expired(at_s)
-        print_message(self.group.second(at_s))
+        print_message(self.group.take_second(at_s))
 
     def finish(self) -> None:
         """Report the whole run and close the sockets."""
-        print_message(self.group.total(self.clock.now_s()))
+        print_message(self.group.summarize_run(self.clock.now_s()))
         self.close()
 
     def close(self) -> None:
         """Listen no more and call nothing any more."""
-        if self.pacemaker is not None:
-            self.pacemaker.stop()
+        if self.deadline_timer is not None:
+            self.deadline_timer.stop()
         for server in self.servers:
             server.close()
         for connection in list(self.batch_connections):
@@ -107,31 +107,31 @@
         for endpoint in self.endpoints.values():
             endpoint.stop()
 
-    def _hosted(self, numbers: tuple[int, ...]) -> list[Endpoint]:
+    def _hosted(self, numbers: tuple[int, ...]) -> list[ServerEndpoint]:
         return [self.endpoints[number] for number in numbers if number in self.endpoints]
 
     def _flush(self) -> None:
-        falls = self.group.server_counts.falls
-        for fall in falls[self._known_falls :]:
-            self.endpoints[fall.server].stop()
-        self._known_falls = len(falls)
+        crashes = self.group.server_counts.crashes
+        for crash in crashes[self._handled_crash_count :]:
+            self.endpoints[crash.server].stop()
+        self._handled_crash_count = len(crashes)
         for connection in self.batch_connections:
             connection.flush()
 
-    def _spawn_restart(self, endpoints: list[Endpoint]) -> None:
+    def _start_restart(self, endpoints: list[ServerEndpoint]) -> None:
         task = asyncio.get_running_loop().create_task(_restart(endpoints))
-        self._listening.add(task)
-        task.add_done_callback(self._listening.discard)
+        self._restart_tasks.add(task)
+        task.add_done_callback(self._restart_tasks.discard)
 
     def _now_s(self) -> float:
         return self.clock.now_s()
 
     def _rearm(self) -> None:
-        if self.pacemaker is not None:
-            self.pacemaker.rearm()
+        if self.deadline_timer is not None:
+            self.deadline_timer.rearm()
 
 
-async def _restart(endpoints: list[Endpoint]) -> None:
+async def _restart(endpoints: list[ServerEndpoint]) -> None:
     for endpoint in endpoints:
         endpoint.stop()
         await endpoint.listen()
@@ -139,7 +139,7 @@
 
 def main() -> int:
     """Run stand-in photo servers until standard input ends."""
-    return run_child(ROLE, PhotoServerPart)
+    return run_child(ROLE, PhotoServerProcess)
 
 
 if __name__ == "__main__":
--- a/tests/emulator/test_standins.py
+++ b/tests/emulator/test_standins.py
@@ -28,12 +28,12 @@
     request_target,
     split_frames,
 )
-from emulator.fleet.discovery import DiscoveryPart
-from emulator.fleet.discovery_transfers import LARGE, MOST_AT_ONCE, Transfers
+from emulator.fleet.discovery import DiscoveryProcess
+from emulator.fleet.discovery_transfers import LARGE_RESPONSE_BYTES, MAX_CONCURRENT_TRANSFERS, TransferQueue
 from emulator.fleet.layout import build_layout
-from emulator.fleet.photo_server import State
-from emulator.fleet.photo_server_group import Attempted, PhotoServerGroup
-from emulator.fleet.photo_server_process import PhotoServerPart
+from emulator.fleet.photo_server import PhotoServerState
+from emulator.fleet.photo_server_group import TrackedAttempt, PhotoServerGroup
+from emulator.fleet.photo_server_process import PhotoServerProcess
 from emulator.fleet.process import ScenarioClock, FleetContext, TimelinePlayer
 from emulator.fleet.scenario import Scenario, load_scenario
 from emulator.free_ports import find_free_ports
@@ -67,17 +67,17 @@
         self.ends: list[tuple[int, Outcome | None, float]] = []
         self.sent = 0
 
-    def deliver(self, attempt: Attempted) -> None:
+    def deliver(self, attempt: TrackedAttempt) -> None:
         self.ends.append((attempt.number, attempt.outcome, round(self.group.now_s, 3)))
 
     def send(
         self, now_s: float, work_s: float = 0.1, wait_s: float = 9.0, balancer: int = 0, server: int = SERVER
-    ) -> Attempted:
+    ) -> TrackedAttempt:
         self.group.advance(now_s)
         self.sent += 1
         return self.group.submit(now_s, self, self.sent, server, balancer, work_s, wait_s)
 
-    def state(self) -> State:
+    def state(self) -> PhotoServerState:
         return self.server.state
 
     def outcomes(self, until_s: float) -> list[Outcome | None]:
@@ -101,8 +101,8 @@
 def test_a_cold_server_warms_up_linearly() -> None:
     rig = Rig()
     rig.group.apply(events.ServersStarted(1.0, (SERVER,), False))
-    warmth = [rig.server.warmth(at_s) for at_s in (1.0, 1.0 + 8.6 / 2, 1.0 + 8.6, 99.0)]
-    assert warmth == pytest.approx([0.36, 0.68, 1.0, 1.0])
+    shares = [rig.server.warm_capacity_share(at_s) for at_s in (1.0, 1.0 + 8.6 / 2, 1.0 + 8.6, 99.0)]
+    assert shares == pytest.approx([0.36, 0.68, 1.0, 1.0])
     rig.send(1.0, work_s=0.1)
     rig.send(9.0, work_s=0.72)  # on a core until after the server is warm
     rig.group.advance(12.0)
@@ -120,18 +120,18 @@
     for number in range(budget):
         rig.send(0.0001 * number, work_s=mean_s, balancer=number % 3)
     rig.group.advance(0.1)
-    assert rig.state() is State.RUNNING and not rig.group.server_counts.falls
+    assert rig.state() is PhotoServerState.RUNNING and not rig.group.server_counts.crashes
     for number in range(5):
         rig.send(0.1, work_s=mean_s, balancer=number % 3)
     rig.group.advance(0.2)
-    (fall,) = rig.group.second(0.2).falls
-    assert rig.state() is State.FALLEN
+    (fall,) = rig.group.take_second(0.2).falls
+    assert rig.state() is PhotoServerState.CRASHED
     assert fall.server == SERVER and fall.balancers == 3 and budget < fall.attempts <= budget + 5
     rig.ends.clear()
     rig.send(0.5)
     assert Outcome.CONNECT_FAILED in rig.outcomes(1.0)
     rig.group.apply(events.ServersStarted(2.0, (SERVER,), False))
-    assert rig.state() is State.RUNNING
+    assert rig.state() is PhotoServerState.RUNNING
 
 
 def test_a_warm_server_bears_any_load() -> None:
@@ -139,7 +139,7 @@
     for number in range(2000):
         rig.send(0.0001 * number)
     rig.group.advance(9.0)
-    assert rig.state() is State.RUNNING and not rig.group.server_counts.falls
+    assert rig.state() is PhotoServerState.RUNNING and not rig.group.server_counts.crashes
 
 
 def test_a_draining_server_finishes_what_it_has_and_counts_who_was_told() -> None:
@@ -167,8 +167,8 @@
     assert rig.server.queue_length() == 2
     rig.group.advance(1.0)
     assert [number for number, _, _ in rig.ends] == [third.number]
-    assert rig.server.in_flight == 0 and expired.over
-    counts = rig.group.second(1.0).counts
+    assert rig.server.in_flight == 0 and expired.is_finished
+    counts = rig.group.take_second(1.0).counts
     assert (counts.cancelled, counts.dropped, counts.ok) == (2, 2, 1)
     assert (counts.work_s, counts.wasted_work_s) == pytest.approx((0.2, 0.1))
 
@@ -231,9 +231,9 @@
     rig.group.advance(1.0)
     rig.send(1.0, work_s=0.01)
     rig.group.advance(2.0)
-    second = rig.group.second(2.0)
+    second = rig.group.take_second(2.0)
     assert (second.connections, second.most_connections) == (3, 3)
-    assert [rig.group.second(at_s).connections for at_s in range(30, 39)][-1] == 0
+    assert [rig.group.take_second(at_s).connections for at_s in range(30, 39)][-1] == 0
 
 
 # ---- on loopback ----
@@ -251,7 +251,7 @@
 
 
 @asynccontextmanager
-async def started(part: DiscoveryPart | PhotoServerPart) -> AsyncIterator[ScenarioClock]:
+async def started(part: DiscoveryProcess | PhotoServerProcess) -> AsyncIterator[ScenarioClock]:
     """The part listens, and the timeline plays."""
     await part.listen()
     clock = ScenarioClock(time.monotonic_ns())
@@ -266,7 +266,7 @@
 class Told:
     """Everything that a real discovery client hears."""
 
-    def __init__(self, part: DiscoveryPart, balancer: int) -> None:
+    def __init__(self, part: DiscoveryProcess, balancer: int) -> None:
         given = part.fleet
         agent = given.config.addresses.agent_address(balancer)
         kinds = tuple(kind.name for kind in given.scenario.servers.kinds)
@@ -293,7 +293,7 @@
             await asyncio.sleep(0.002)
         return self.lists[lists - 1][1]
 
-    async def acknowledged(self, part: DiscoveryPart, changes: int) -> None:
+    async def acknowledged(self, part: DiscoveryProcess, changes: int) -> None:
         while part.hollow.total.acknowledged < changes:
             await asyncio.sleep(0.002)
 
@@ -310,7 +310,7 @@
             events.ServersStarted(0.9, (5,), True),
             events.DiscoveryReturned(2.9, (0, 1)),
         )
-        part = DiscoveryPart(fleet(scenario(**QUICK_DISCOVERY), *timeline))
+        part = DiscoveryProcess(fleet(scenario(**QUICK_DISCOVERY), *timeline))
         async with started(part) as clock:
             told = Told(part, 20)
             whole = await told.heard(1)
@@ -345,7 +345,7 @@
             events.BalancersStarted(0.5, (20,)),
             events.WatchesReturned(0.6, (20,)),
         )
-        part = DiscoveryPart(fleet(scenario(**QUICK_DISCOVERY), *timeline))
+        part = DiscoveryProcess(fleet(scenario(**QUICK_DISCOVERY), *timeline))
         async with started(part) as clock:
             told = Told(part, 20)
             await told.heard(1)
@@ -361,14 +361,14 @@
     run(main())
 
 
-class Caller:
+class StubReceiver:
     """A receiver of large answers that the test ends."""
 
     def __init__(self) -> None:
         self.written = 0
         self.gone = False
 
-    def has_given_up(self) -> bool:
+    def has_disconnected(self) -> bool:
         return self.gone
 
     def write(self, body: bytes) -> None:
@@ -377,22 +377,24 @@
 
 def test_large_answers_take_turns_and_none_is_lost_on_who_has_given_up() -> None:
     timers: list[Callable[[], None]] = []
-    transfers = Transfers(lambda _, callback: timers.append(callback))
-    callers = [Caller() for _ in range(MOST_AT_ONCE + 3)]
+    transfers = TransferQueue(lambda _, callback: timers.append(callback))
+    callers = [StubReceiver() for _ in range(MAX_CONCURRENT_TRANSFERS + 3)]
     for caller in callers:
-        transfers.send(caller, bytes(LARGE))
-    small = Caller()
+        transfers.send(caller, bytes(LARGE_RESPONSE_BYTES))
+    small = StubReceiver()
     transfers.send(small, b"{}")
-    assert [caller.written for caller in callers] == [1] * MOST_AT_ONCE + [0] * 3 and small.written
+    assert [caller.written for caller in callers] == [1] * MAX_CONCURRENT_TRANSFERS + [
+        0
+    ] * 3 and small.written
     callers[-1].gone = True
-    transfers.finished(callers[0])  # the newest has given up: the one before it takes the turn
+    transfers.finish(callers[0])  # the newest has given up: the one before it takes the turn
     assert [caller.written for caller in callers[-3:]] == [0, 1, 0]
     for callback in timers[:]:
         callback()
-    assert [caller.written for caller in callers] == [1] * (MOST_AT_ONCE + 2) + [0]
+    assert [caller.written for caller in callers] == [1] * (MAX_CONCURRENT_TRANSFERS + 2) + [0]
 
 
-async def ask(part: PhotoServerPart, number: int, target: str, *headers: str) -> tuple[str, bytes]:
+async def ask(part: PhotoServerProcess, number: int, target: str, *headers: str) -> tuple[str, bytes]:
     """One request over HTTP; the head and the body of its answer."""
     address = part.fleet.config.addresses.server_address(number)
     reader, writer = await asyncio.open_connection(address.host, address.port)
@@ -413,7 +415,7 @@
 
 def test_http_and_batches_meet_the_same_server() -> None:
     async def main() -> None:
-        part = PhotoServerPart(fleet(scenario(), events.ServersDrained(0.6, (SERVER,))))
+        part = PhotoServerProcess(fleet(scenario(), events.ServersDrained(0.6, (SERVER,))))
         async with started(part) as clock:
             reader, writer = await asyncio.open_connection(
                 "127.0.0.1", part.fleet.config.addresses.shard_ports[0]
@@ -432,11 +434,11 @@
             received = bytearray(await reader.read(4096))
             assert [(end.number, end.outcome) for end in results(received)] == [(7, "OK")]
             assert (await ask(part, SERVER, "/api"))[0].startswith("HTTP/1.1 404 ")
-            while part.group.servers[SERVER].state is not State.DRAINING:
+            while part.group.servers[SERVER].state is not PhotoServerState.DRAINING:
                 await asyncio.sleep(0.002)
             head, _ = await ask(part, SERVER, "/api", "X-Request-Id: r2", "X-Work-Us: 1000")
             assert head.startswith("HTTP/1.1 503 ") and "X-Not-Run: 1" in head
-            counts = part.group.second(1.0).counts
+            counts = part.group.take_second(1.0).counts
             assert (counts.attempts, counts.http, counts.ok, counts.full, counts.cancelled) == (4, 2, 2, 1, 1)
             writer.close()
 
@@ -450,7 +452,7 @@
             events.ServersVanished(0.1, (SERVER,)),
             events.ServersStarted(0.5, (SERVER, OTHER), False),
         )
-        part = PhotoServerPart(fleet(scenario(), *timeline))
+        part = PhotoServerProcess(fleet(scenario(), *timeline))
         async with started(part) as clock:
             while clock.now_s() < 0.15:
                 await asyncio.sleep(0.002)
