--- a/emulator/fleet/apportion.py
+++ b/emulator/fleet/apportion.py
@@ -1,4 +1,4 @@
-"""Divides whole members among parts by their shares, the same way in every process."""
+"""Divides a number of members among parts by their shares, with the same result in every process."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 def apportion(total: int, shares: Sequence[float]) -> list[int]:
-    """How many of `total` members each part gets, by largest remainder; the counts add up to `total`."""
-    whole = sum(shares)
-    exact = [total * share / whole for share in shares]
+    """Number of members per part, by the largest remainder method; the counts add up to `total`."""
+    share_sum = sum(shares)
+    exact = [total * share / share_sum for share in shares]
     counts = [int(value) for value in exact]
     by_remainder = sorted(range(len(shares)), key=lambda part: counts[part] - exact[part])
     for part in by_remainder[: total - sum(counts)]:
@@ -17,13 +17,13 @@
 
 
 def interleave(counts: Sequence[int]) -> list[int]:
-    """The part of each member in turn, so that any stretch of members has about the shares of the whole."""
+    """The part of each member, such that any run of members has about the same shares as all of them."""
     total = sum(counts)
-    given = [0] * len(counts)
+    assigned = [0] * len(counts)
     parts = []
     for member in range(1, total + 1):
-        behind = [count * member / total - had for count, had in zip(counts, given, strict=True)]
-        part = behind.index(max(behind))
-        given[part] += 1
+        deficits = [count * member / total - done for count, done in zip(counts, assigned, strict=True)]
+        part = deficits.index(max(deficits))
+        assigned[part] += 1
         parts.append(part)
     return parts
--- a/emulator/fleet/clients.py
+++ b/emulator/fleet/clients.py
@@ -32,32 +32,32 @@
 
 ROLE = "clients"
 TICK_S = 0.001
-MOST_AT_ONCE_NS = 5_000_000  # for deadlines, before the sockets are looked at again
-ANSWER_GRACE_NS = 20 * NS_PER_MS  # a client gives up so long after its deadline
-REFUSALS = (429, 503)
+MAX_DEADLINE_RUN_NS = 5_000_000  # longest run of deadlines before the sockets are polled again
+RESPONSE_GRACE_NS = 20 * NS_PER_MS  # a client waits this long after the timeout of its try
+REFUSAL_STATUSES = (429, 503)
 
 
 class ServerBody(msgspec.Struct):
-    """Body of a stand-in photo server's 200 answer."""
+    """Body of a 200 response of a stand-in photo server."""
 
-    served: str  # the request's id
-    held_us: int  # from the request's last byte to the answer, the network's delays included
+    served: str  # id of the request
+    held_us: int  # from the last byte of the request to the response, with the network delays
 
 
 class OpenTry:
-    """One try that has no answer yet."""
+    """A try that has no response yet."""
 
-    __slots__ = ("begun", "client_try", "connection", "over")
+    __slots__ = ("client_try", "connection", "is_closed", "started_at")
 
-    def __init__(self, client_try: ClientTry, begun: int) -> None:
+    def __init__(self, client_try: ClientTry, started_at: int) -> None:
         self.client_try = client_try
-        self.begun = begun  # when this process came to it, which is no delay of the balancer's
+        self.started_at = started_at  # not `sent_at`: this process's own lag is no latency of the balancer
         self.connection: HttpClientConnection | None = None
-        self.over = False
+        self.is_closed = False
 
 
-class Clients:
-    """All clients of the real balancers."""
+class ClientProcess:
+    """The clients of all real balancers."""
 
     def __init__(self, fleet: FleetContext) -> None:
         config, scenario, layout = fleet.config, fleet.scenario, fleet.layout
@@ -71,48 +71,50 @@
         self._pools = [
             ConnectionPool(config.addresses.balancer_address(number)) for number in range(balancers)
         ]
-        self._open: set[OpenTry] = set()
+        self._open_tries: set[OpenTry] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._counts = RequestCounts()
         self._added, self._lag = LatencyRecorder(), LatencyRecorder()
-        self._unsound = 0
+        self._invalid_answers = 0
 
-    # ---- the life of the process ----
+    # ---- Part: start and end of the process ----
 
     async def listen(self) -> None:
-        """Nothing connects to the clients."""
+        """Do nothing: clients accept no connections."""
 
     def start(self, clock: ScenarioClock) -> None:
-        """Begin to ask."""
+        """Schedule the first arrival for each balancer."""
         start_ns = time.monotonic_ns() - int(clock.now_s() * NS_PER_S)
         for number, rate in enumerate(self._rates):
             if rate:
-                self._plan_arrival(number, start_ns)
-        self._run_task(self._tick())
+                self._schedule_arrival(number, start_ns)
+        self._start_task(self._tick())
 
     def apply(self, event: Event) -> None:
-        """Clients learn of nothing but what they are answered."""
+        """Do nothing: clients learn of events only by the responses that they receive."""
 
     def finish(self) -> None:
-        """Hang up."""
+        """Stop all tasks and close the idle connections."""
         for task in list(self._tasks):
             task.cancel()
         for pool in self._pools:
             pool.close()
 
-    def _run_task(self, work: Coroutine[None, None, None]) -> None:
+    def _start_task(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _tick(self) -> None:
         while True:
-            busy = self.deadlines.run_due(time.monotonic_ns, time.monotonic_ns() + MOST_AT_ONCE_NS)
-            await asyncio.sleep(0 if busy else TICK_S)
+            is_work_left = self.deadlines.run_due(
+                time.monotonic_ns, time.monotonic_ns() + MAX_DEADLINE_RUN_NS
+            )
+            await asyncio.sleep(0 if is_work_left else TICK_S)
 
     # ---- tries ----
 
-    def _plan_arrival(self, balancer: int, after: int) -> None:
+    def _schedule_arrival(self, balancer: int, after: int) -> None:
         due = after + self.model.draw_interarrival_ns(self._rates[balancer])
         self.deadlines.add(due, partial(self._arrive, balancer, due))
 
@@ -122,118 +124,121 @@
         if now - due > MAX_ARRIVAL_LAG_NS:
             self._counts.missed += 1
         else:
-            self._begin(balancer, self.model.draw_first_try(balancer, due), now)
-        self._plan_arrival(balancer, due)
+            self._start_try(balancer, self.model.draw_first_try(balancer, due), now)
+        self._schedule_arrival(balancer, due)
 
-    def _begin(self, balancer: int, client_try: ClientTry, now: int) -> None:
+    def _start_try(self, balancer: int, client_try: ClientTry, now: int) -> None:
         self._counts.tries += 1
-        one = OpenTry(client_try, now)
-        self._open.add(one)
-        given_up = client_try.sent_at + client_try.timeout_ns + ANSWER_GRACE_NS
-        self.deadlines.add(given_up, partial(self._expire, one))
+        open_try = OpenTry(client_try, now)
+        self._open_tries.add(open_try)
+        expires_at = client_try.sent_at + client_try.timeout_ns + RESPONSE_GRACE_NS
+        self.deadlines.add(expires_at, partial(self._expire, open_try))
         if client_try.request.disconnects_after_ns and client_try.index == 0:
             self.deadlines.add(
-                client_try.sent_at + client_try.request.disconnects_after_ns, partial(self._leave, one)
+                client_try.sent_at + client_try.request.disconnects_after_ns,
+                partial(self._disconnect, open_try),
             )
-        self._run_task(self._send(balancer, one))
+        self._start_task(self._send_try(balancer, open_try))
 
-    async def _send(self, balancer: int, one: OpenTry) -> None:
+    async def _send_try(self, balancer: int, open_try: OpenTry) -> None:
         try:
             connection = await self._pools[balancer].acquire()
         except OSError:
-            self._end(one, TryOutcome.CONNECTION_FAILED, 0)
+            self._end_try(open_try, TryOutcome.CONNECTION_FAILED, 0)
             return
-        if one.over:
+        if open_try.is_closed:
             connection.close()
             return
-        one.connection = connection
-        connection.send_request(self._message(one.client_try, balancer), partial(self._answered, one))
+        open_try.connection = connection
+        connection.send_request(
+            self._encode_request(open_try.client_try, balancer), partial(self._on_response, open_try)
+        )
 
-    def _message(self, client_try: ClientTry, balancer: int) -> bytes:
-        request, klass = client_try.request, self.scenario.classes[client_try.request.class_index]
-        method = "GET" if klass.idempotency == "safe" else "POST"
+    def _encode_request(self, client_try: ClientTry, balancer: int) -> bytes:
+        request, request_class = client_try.request, self.scenario.classes[client_try.request.class_index]
+        method = "GET" if request_class.idempotency == "safe" else "POST"
         headers = [
             f"{method} {request_target(request.work_us, balancer)} HTTP/1.1",
             "Host: backend.local",
             f"X-Request-Id: {_request_id(client_try)}",
-            f"X-Class: {klass.name}",
+            f"X-Class: {request_class.name}",
             f"X-Tenant: {tenant_name(request.tenant_index)}",
             f"X-Deadline-Ms: {client_try.timeout_ns // NS_PER_MS}",
         ]
         if client_try.is_retry:
             headers.append("X-Retry: 1")
-        if klass.idempotency == "keyed":
+        if request_class.idempotency == "keyed":
             headers.append(f"Idempotency-Key: key-{request.number}")
         if method == "POST":
             headers.append("Content-Length: 0")
         return "\r\n".join([*headers, "", ""]).encode()
 
-    def _answered(self, one: OpenTry, response: HttpResponse | None) -> None:
+    def _on_response(self, open_try: OpenTry, response: HttpResponse | None) -> None:
         if response is None:
-            self._end(one, TryOutcome.CONNECTION_FAILED, 0)
+            self._end_try(open_try, TryOutcome.CONNECTION_FAILED, 0)
         elif response.status == 200:
-            self._served(one, response.body)
-        elif response.status in REFUSALS:
-            self._end(one, TryOutcome.REFUSED, int(response.retry_after_s * NS_PER_S))
+            self._on_ok(open_try, response.body)
+        elif response.status in REFUSAL_STATUSES:
+            self._end_try(open_try, TryOutcome.REFUSED, int(response.retry_after_s * NS_PER_S))
         else:
-            self._end(one, TryOutcome.FAILED, 0)
+            self._end_try(open_try, TryOutcome.FAILED, 0)
 
-    def _served(self, one: OpenTry, body: bytes) -> None:
+    def _on_ok(self, open_try: OpenTry, body: bytes) -> None:
         now = time.monotonic_ns()
         try:
-            made: ServerBody = msgspec.json.decode(body, type=ServerBody)
+            decoded: ServerBody = msgspec.json.decode(body, type=ServerBody)
         except msgspec.DecodeError:
-            self._unsound += 1
+            self._invalid_answers += 1
         else:
-            self._unsound += made.served != _request_id(one.client_try)
-            self._added.record_us((now - one.begun) // 1000 - made.held_us)
-        self._end(one, TryOutcome.SERVED, 0)
-
-    def _expire(self, one: OpenTry, now: int) -> None:
-        if not one.over:
-            if one.connection is not None:
-                one.connection.cancel_request()
-            self._end(one, TryOutcome.NO_ANSWER, 0)
-
-    def _leave(self, one: OpenTry, now: int) -> None:
-        if not one.over:
-            one.over = True
-            self._open.discard(one)
-            if one.connection is not None:
-                one.connection.cancel_request()
+            self._invalid_answers += decoded.served != _request_id(open_try.client_try)
+            self._added.record_us((now - open_try.started_at) // 1000 - decoded.held_us)
+        self._end_try(open_try, TryOutcome.SERVED, 0)
+
+    def _expire(self, open_try: OpenTry, now: int) -> None:
+        if not open_try.is_closed:
+            if open_try.connection is not None:
+                open_try.connection.cancel_request()
+            self._end_try(open_try, TryOutcome.NO_ANSWER, 0)
+
+    def _disconnect(self, open_try: OpenTry, now: int) -> None:
+        if not open_try.is_closed:
+            open_try.is_closed = True
+            self._open_tries.discard(open_try)
+            if open_try.connection is not None:
+                open_try.connection.cancel_request()
             self._counts.count_request_outcome(RequestOutcome.CLIENT_GONE)
 
-    def _end(self, one: OpenTry, end: TryOutcome, retry_after_ns: int) -> None:
-        if one.over:
+    def _end_try(self, open_try: OpenTry, outcome: TryOutcome, retry_after_ns: int) -> None:
+        if open_try.is_closed:
             return
-        one.over = True
-        self._open.discard(one)
-        self._counts.count_try_outcome(end)
+        open_try.is_closed = True
+        self._open_tries.discard(open_try)
+        self._counts.count_try_outcome(outcome)
         now = time.monotonic_ns()
-        again = None
-        if end is not TryOutcome.SERVED:
-            again = self.model.plan_retry(now, one.client_try, end, retry_after_ns)
-        if again is None:
-            self._counts.count_request_outcome(self.model.request_outcome(now, one.client_try, end))
+        retry = None
+        if outcome is not TryOutcome.SERVED:
+            retry = self.model.plan_retry(now, open_try.client_try, outcome, retry_after_ns)
+        if retry is None:
+            self._counts.count_request_outcome(self.model.request_outcome(now, open_try.client_try, outcome))
         else:
             balancer = self._random.randrange(len(self._pools))
-            self.deadlines.add(again.sent_at, partial(self._begin, balancer, again))
+            self.deadlines.add(retry.sent_at, partial(self._start_try, balancer, retry))
 
     # ---- measures ----
 
     def measure(self, at_s: float) -> None:
-        """Print what happened since the last call."""
+        """Print the measure of the time since the last call."""
         counts, self._counts = self._counts, RequestCounts()
-        unsound, self._unsound = self._unsound, 0
+        invalid_answers, self._invalid_answers = self._invalid_answers, 0
         measure = ClientMeasure(
             at_s=at_s,
             index=self.config.index,
             requests=counts,
-            open_requests=len(self._open),
-            connections=len(self._open) + sum(pool.idle_count() for pool in self._pools),
+            open_requests=len(self._open_tries),
+            connections=len(self._open_tries) + sum(pool.idle_count() for pool in self._pools),
             added=self._added.take_summary(),
             lag=self._lag.take_summary(),
-            unsound_answers=unsound,
+            unsound_answers=invalid_answers,
         )
         print_message(measure)
 
@@ -243,4 +248,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(run_child(ROLE, Clients))
+    sys.exit(run_child(ROLE, ClientProcess))
--- a/emulator/fleet/contract.py
+++ b/emulator/fleet/contract.py
@@ -1,9 +1,10 @@
-"""What the processes of one fleet run agree on: addresses, start-up lines and the batch messages.
+"""Addresses and messages that the processes of a fleet run share.
 
-Every process gets a `ProcessConfig` as one JSON line on its standard input, prints `Ready` as one JSON line,
-waits for `Start`, and ends by itself when its standard input ends. It prints its measures as JSON lines.
-Hollow balancers reach the stand-in photo servers by `AttemptBatch` and `ResultBatch` over one TCP connection
-for each pair of worker and shard, each message preceded by its length.
+Each process reads a `ProcessConfig` as one JSON line from standard input, prints `Ready` as one JSON line,
+waits for `Start`, and exits at the end of its standard input. It prints its measures as JSON lines. Hollow
+balancers send attempts to the stand-in photo servers as `AttemptBatch` and receive `ResultBatch`, over one
+TCP connection for each pair of hollow worker and shard (a process that hosts photo servers). Each batch is
+preceded by its length.
 """
 
 from __future__ import annotations
@@ -13,62 +14,62 @@
 
 import msgspec
 
-LENGTH = struct.Struct("!I")  # precedes each batch on a connection
+LENGTH = struct.Struct("!I")  # length in bytes of the batch that follows
 
 
 class Address(msgspec.Struct, frozen=True):
-    """Where a process listens, on loopback."""
+    """Loopback address on which a process listens."""
 
     host: str
     port: int
 
 
 def loopback_address(block: int, number: int, port: int) -> Address:
-    """A loopback address of its own for member `number` of a block: 127.block.high.low, low from 1 to 254."""
+    """Loopback address of member `number` of a block: 127.block.high.low, with low from 1 to 254."""
     high, low = divmod(number, 254)
     return Address(f"127.{block}.{high}.{low + 1}", port)
 
 
 class AddressPlan(msgspec.Struct, frozen=True):
-    """Ports chosen free by the supervisor; everything else follows from a member's number."""
+    """Free ports chosen by the supervisor; a member's host follows from its number."""
 
     server_port: int
     agent_port: int
     balancer_port: int
-    shard_ports: tuple[int, ...]  # batch port of each process that hosts photo servers, on 127.0.0.1
+    shard_ports: tuple[int, ...]  # batch port of each shard, on 127.0.0.1
 
     def server_address(self, number: int) -> Address:
-        """Where stand-in photo server `number` speaks HTTP."""
+        """HTTP address of stand-in photo server `number`."""
         return loopback_address(64, number, self.server_port)
 
     def agent_address(self, balancer: int) -> Address:
-        """Where the agent of balancer `balancer` listens; hollow and real ones share the numbers."""
+        """Address of the discovery agent of a balancer; hollow and real balancers are numbered together."""
         return loopback_address(65, balancer, self.agent_port)
 
     def balancer_address(self, number: int) -> Address:
-        """Where the real balancer `number` listens."""
+        """Address of real balancer `number`."""
         return loopback_address(66, number, self.balancer_port)
 
 
 class ProcessConfig(msgspec.Struct, frozen=True):
-    """First line on the standard input of each process of a run."""
+    """First line on the standard input of each process."""
 
     scenario: str  # path of the scenario file
     seed: int
-    index: int  # which process of its role this is
-    processes: int  # how many processes share its role; member n belongs to process n % processes
+    index: int  # of this process among those of its role
+    processes: int  # of its role; member n belongs to process n % processes
     addresses: AddressPlan
 
 
 class Ready(msgspec.Struct, frozen=True, tag=True):
-    """First line that a process prints, once it listens."""
+    """First line that a process prints, once it is listening."""
 
     role: str
     index: int
 
 
 class Start(msgspec.Struct, frozen=True, tag=True):
-    """Second line on the standard input: the scenario's time 0 on the machine's monotonic clock."""
+    """Second line on the standard input: time 0 of the scenario on the machine's monotonic clock."""
 
     monotonic_ns: int
 
@@ -78,25 +79,25 @@
 
     number: int  # unique on its connection
     server: int
-    work_us: int  # processor time that it takes on a core of speed 1
-    wait_us: int  # how long the balancer waits for the answer
-    balancer: int = 0  # who sends it: gives the network delay and the connection
+    work_us: int  # processor time on a core of speed 1
+    wait_us: int  # timeout of the balancer
+    balancer: int = 0  # sender; determines the network delay and the connection
 
 
 class AttemptBatch(msgspec.Struct, frozen=True, array_like=True):
     """From a hollow worker to a shard of photo servers."""
 
     attempts: list[Attempt]
-    cancelled: list[int]  # numbers of earlier attempts that are given up
+    cancelled: list[int]  # numbers of earlier attempts
 
 
 class Result(msgspec.Struct, frozen=True, array_like=True):
-    """How one attempt ended; an attempt that gets no answer has none."""
+    """Outcome of one attempt; there is none for an attempt that gets no response."""
 
     number: int
     outcome: str  # name of a member of dykeshift.interface.Outcome
-    in_flight: int  # requests that the server held as it answered
-    service_us: int  # its recent service time, without waiting
+    in_flight: int  # requests at the server when it responded
+    service_us: int  # recent service time of the server, without time in its queue
 
 
 class ResultBatch(msgspec.Struct, frozen=True, array_like=True):
@@ -106,18 +107,21 @@
 
 
 def request_target(work_us: int, balancer: int) -> str:
-    """Target of a client's request; a balancer passes it on unchanged, but not headers of ours."""
+    """Target of a client's request.
+
+    The parameters are in the target, as a balancer forwards it unchanged but drops unknown headers.
+    """
     return f"/api?work_us={work_us}&balancer={balancer}"
 
 
 def encode_frame(message: AttemptBatch | ResultBatch) -> bytes:
-    """The message as it is written to a connection."""
+    """Encode a message with its length prefix."""
     body = msgspec.msgpack.encode(message)
     return LENGTH.pack(len(body)) + body
 
 
 def split_frames(received: bytearray) -> Iterator[bytes]:
-    """Take the whole message bodies out of what has been received; the rest stays in `received`."""
+    """Yield the complete message bodies and remove them from `received`; an incomplete one stays there."""
     while len(received) >= LENGTH.size:
         (length,) = LENGTH.unpack_from(received)
         end = LENGTH.size + length
--- a/emulator/fleet/http_client.py
+++ b/emulator/fleet/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 connections of the modelled clients: kept alive, one request at a time."""
+"""HTTP/1.1 keep-alive connections of the modelled clients, with one request at a time."""
 
 from __future__ import annotations
 
@@ -14,18 +14,19 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     retry_after_s: float
     body: bytes
 
 
-ResponseCallback = Callable[[HttpResponse | None], None]  # None: the connection broke before a whole answer
+# Called with None if the connection fails before the response is complete.
+ResponseCallback = Callable[[HttpResponse | None], None]
 
 
 class HttpClientConnection(asyncio.Protocol):
-    """One connection to one balancer."""
+    """One connection to a balancer."""
 
     def __init__(self, on_idle: Callable[[HttpClientConnection], None]) -> None:
         self.is_usable = False
@@ -37,18 +38,18 @@
         self._body = bytearray()
 
     def send_request(self, message: bytes, on_response: ResponseCallback) -> None:
-        """Send a request; `received` is called once."""
+        """Send a request; `on_response` is called once, unless the request is cancelled."""
         assert self._transport is not None and self._on_response is None
         self._on_response = on_response
         self._transport.write(message)
 
     def cancel_request(self) -> None:
-        """Close it without waiting for the answer; nothing is called back."""
+        """Close the connection without calling `on_response`."""
         self._on_response = None
         self.close()
 
     def close(self) -> None:
-        """Hang up."""
+        """Abort the connection."""
         self.is_usable = False
         if self._transport is not None:
             self._transport.abort()
@@ -56,12 +57,12 @@
     # ---- callbacks of the transport ----
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Protocol callback."""
+        """Callback of asyncio.Protocol."""
         self._transport = cast(asyncio.Transport, transport)
         self.is_usable = True
 
     def data_received(self, data: bytes) -> None:
-        """Protocol callback."""
+        """Callback of asyncio.Protocol."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
@@ -69,28 +70,28 @@
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Protocol callback."""
+        """Callback of asyncio.Protocol."""
         self.is_usable = False
         self._finish(None)
 
     # ---- callbacks of the parser ----
 
     def on_message_begin(self) -> None:
-        """Parser callback."""
+        """Callback of the parser."""
         self._retry_after_s = 0.0
         self._body.clear()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Parser callback."""
+        """Callback of the parser."""
         if name.lower() == b"retry-after":
             self._retry_after_s = float(value)
 
     def on_body(self, body: bytes) -> None:
-        """Parser callback."""
+        """Callback of the parser."""
         self._body += body
 
     def on_message_complete(self) -> None:
-        """Parser callback."""
+        """Callback of the parser."""
         response = HttpResponse(self._parser.get_status_code(), self._retry_after_s, bytes(self._body))
         self.is_usable = self.is_usable and self._parser.should_keep_alive()
         if self.is_usable:
@@ -106,7 +107,7 @@
 
 
 class ConnectionPool:
-    """Connections to one balancer: those that are idle are used again, the latest first."""
+    """Connections to one balancer. Idle ones are reused, the most recently used first."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
@@ -114,7 +115,7 @@
         self._idle: list[HttpClientConnection] = []
 
     async def acquire(self) -> HttpClientConnection:
-        """An idle connection or a new one; OSError if none comes up."""
+        """An idle connection or a new one; OSError if a new one fails."""
         while self._idle:
             connection = self._idle.pop()
             if connection.is_usable:
@@ -126,11 +127,11 @@
         return connection
 
     def idle_count(self) -> int:
-        """How many are open and unused."""
+        """Number of idle connections."""
         self._idle = [connection for connection in self._idle if connection.is_usable]
         return len(self._idle)
 
     def close(self) -> None:
-        """Hang up on all that are idle."""
+        """Close all idle connections."""
         for connection in self._idle:
             connection.close()
--- a/emulator/fleet/latency.py
+++ b/emulator/fleet/latency.py
@@ -1,4 +1,4 @@
-"""Latency histograms that are cheap to record, small to send and exact to merge."""
+"""Latency histograms with cheap recording, small encoding and exact merging."""
 
 from __future__ import annotations
 
@@ -8,12 +8,14 @@
 import numpy
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-LOWEST_US, HIGHEST_US, DIGITS = 1, 120_000_000, 2
-STEP_SHARE = 256  # values are rounded to a 256th of their power of two before they are counted
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 120_000_000
+SIGNIFICANT_DIGITS = 2
+STEPS_PER_OCTAVE = 256  # values are rounded down to a 256th of their power of two before they are counted
 
 
 class LatencySummary(msgspec.Struct, frozen=True):
-    """Percentiles of one histogram, in microseconds, and the histogram itself in HDR's own encoding."""
+    """Percentiles of a histogram, in microseconds, and the histogram in the encoding of HdrHistogram."""
 
     count: int
     p50_us: int
@@ -23,12 +25,12 @@
 
 
 def new_histogram() -> HdrHistogram:
-    """An empty histogram with this module's range."""
-    return HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+    """Empty histogram with the range and precision of this module."""
+    return HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 def summarize(histogram: HdrHistogram) -> LatencySummary:
-    """The figures of a histogram, ready to be sent."""
+    """Summary of a histogram."""
     count = int(histogram.get_total_count())
     return LatencySummary(
         count=count,
@@ -40,7 +42,7 @@
 
 
 def merge_summaries(summaries: Iterable[LatencySummary]) -> LatencySummary:
-    """One summary over the values of all of them."""
+    """Summary of the values of all given summaries."""
     histogram = new_histogram()
     for summary in summaries:
         if summary.count:
@@ -49,19 +51,21 @@
 
 
 class LatencyRecorder:
-    """Collects values as plain numbers; HDR's own recording would cost microseconds for each."""
+    """Collects values as plain numbers, as recording each in an HdrHistogram would cost microseconds."""
 
     def __init__(self) -> None:
         self._values_us: list[int] = []
         self.record_us = self._values_us.append
 
     def take_summary(self) -> LatencySummary:
-        """Summary of what was recorded since the last call."""
+        """Summary of the values recorded since the last call."""
         histogram = new_histogram()
         if self._values_us:
-            values = numpy.clip(numpy.array(self._values_us, dtype=numpy.int64), LOWEST_US, HIGHEST_US)
+            values = numpy.clip(
+                numpy.array(self._values_us, dtype=numpy.int64), MIN_LATENCY_US, MAX_LATENCY_US
+            )
             self._values_us.clear()
-            step = numpy.maximum(1, 2 ** numpy.log2(values).astype(numpy.int64) // STEP_SHARE)
+            step = numpy.maximum(1, 2 ** numpy.log2(values).astype(numpy.int64) // STEPS_PER_OCTAVE)
             for value, count in zip(*numpy.unique(values // step * step, return_counts=True), strict=True):
                 histogram.record_value(int(value), int(count))
         return summarize(histogram)
--- a/emulator/fleet/measures.py
+++ b/emulator/fleet/measures.py
@@ -1,4 +1,4 @@
-"""What the processes of this half of a run print each second, and how a process's part is taken from it."""
+"""Measures that hollow workers, client processes and the supervisor record each second."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 from emulator.fleet.client_model import RequestOutcome, TryOutcome
 from emulator.fleet.latency import LatencySummary
 
-REQUEST_OUTCOMES = tuple(end.value for end in RequestOutcome)
+REQUEST_OUTCOMES = tuple(outcome.value for outcome in RequestOutcome)
 
 
 class RequestCounts(msgspec.Struct):
-    """Requests and tries since the last measure."""
+    """Requests and tries since the last measure. A request has one or more tries."""
 
     asked: int = 0  # first tries that have come due
-    missed: int = 0  # of these, never made: this machine came to them too late
+    missed: int = 0  # first tries not made, as this machine was too late for them
     tries: int = 0
-    ended: dict[str, int] = {}  # by RequestEnd
-    tries_ended: dict[str, int] = {}  # by TryEnd
+    ended: dict[str, int] = {}  # by value of RequestOutcome
+    tries_ended: dict[str, int] = {}  # by value of TryOutcome
 
-    def count_request_outcome(self, end: RequestOutcome) -> None:
-        """A request is over."""
-        self.ended[end.value] = self.ended.get(end.value, 0) + 1
+    def count_request_outcome(self, outcome: RequestOutcome) -> None:
+        """Count a request that has ended."""
+        self.ended[outcome.value] = self.ended.get(outcome.value, 0) + 1
 
-    def count_try_outcome(self, end: TryOutcome) -> None:
-        """A try is over."""
-        self.tries_ended[end.value] = self.tries_ended.get(end.value, 0) + 1
+    def count_try_outcome(self, outcome: TryOutcome) -> None:
+        """Count a try that has ended."""
+        self.tries_ended[outcome.value] = self.tries_ended.get(outcome.value, 0) + 1
 
 
 class HollowMeasure(msgspec.Struct, frozen=True, tag="hollow", tag_field="kind"):
@@ -33,7 +33,7 @@
 
     at_s: float
     index: int
-    balancers: int  # that are up
+    balancers: int  # running
     requests: RequestCounts
     attempts: int
     cancels: int
@@ -42,18 +42,18 @@
     decision_calls: int
     decision_us: int  # processor time, estimated from a sample
     open_tries: int
-    added: LatencySummary  # answer time less the server's service and the network's time
-    lag: LatencySummary  # how much later than due an arrival was taken
+    added: LatencySummary  # response time less the server's service time and the network delay
+    lag: LatencySummary  # lateness of arrivals behind their due times
     tenant_asked: list[int]  # by rank
-    tenant_within_split: list[int]  # of these, within the tenant's quota split evenly over the balancers
-    ready_ms: list[float]  # of the balancers that became ready: from their turn to their first list
-    ready_wait_ms: list[float]  # of the same: how long they waited for their turn in this process
+    tenant_within_split: list[int]  # of these, within the tenant's quota divided evenly among the balancers
+    ready_ms: list[float]  # of each balancer that became ready: from when its start began to its first list
+    ready_wait_ms: list[float]  # of the same balancers: wait until this process began their start
     bytes_sent: int
     bytes_received: int
 
 
 class ClientMeasure(msgspec.Struct, frozen=True, tag="clients", tag_field="kind"):
-    """One second of the clients of the real balancers."""
+    """One second of the clients of the real balancers; `added` and `lag` as in `HollowMeasure`."""
 
     at_s: float
     index: int
@@ -62,11 +62,11 @@
     connections: int
     added: LatencySummary
     lag: LatencySummary
-    unsound_answers: int  # bodies that no stand-in made for the request
+    unsound_answers: int  # 200 responses whose body no stand-in sent for this request
 
 
 class ProcessMeasure(msgspec.Struct, frozen=True, tag="process", tag_field="kind"):
-    """What the operating system says of one process."""
+    """One second of a process, as reported by the operating system."""
 
     at_s: float
     role: str
