--- a/emulator/soak/__init__.py
+++ b/emulator/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Seeded soak: real balancers under drawn faults, judged by what clients and servers have recorded."""
+"""Soak test: real balancers under faults drawn from a seed, checked by the records of clients and servers."""
--- a/emulator/soak/connections.py
+++ b/emulator/soak/connections.py
@@ -1,10 +1,11 @@
-"""What the stand-ins of a soak share about their connections."""
+"""Errors of connections that the simulated clients, servers and discovery have in common."""
 
 from __future__ import annotations
 
 import asyncio
 
-# How a connection ends under who reads or writes: by its peer, or by a fault of the plan (the event loop
-# raises RuntimeError for a write on a transport that is closed).
+# A read or write fails with one of these when the peer or an injected fault ends the connection. The event
+# loop raises RuntimeError for a write to a closed transport.
 CONNECTION_ERRORS = (asyncio.IncompleteReadError, OSError, RuntimeError)
-CONNECTION_ERRORS_OR_CANCELLED = (asyncio.CancelledError, *CONNECTION_ERRORS)  # or with the run
+# The end of the run cancels the task that reads or writes.
+CONNECTION_ERRORS_OR_CANCELLED = (asyncio.CancelledError, *CONNECTION_ERRORS)
--- a/emulator/soak/deliberate_breaches.py
+++ b/emulator/soak/deliberate_breaches.py
@@ -1,4 +1,4 @@
-"""Planted faults: for each rule a way to break it, to prove that the soak would report it."""
+"""For each rule a way to break it deliberately, to prove that the soak reports it."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from emulator.faults.proxy import NO_STREAM_FAULTS, StreamFaults
 from emulator.soak.rules import Rule
 
-FAULT_SHARE = 0.05  # of the pieces of a direction
-LONG_DELAY_S = 2.0  # of requests on their way to a server: their clients have ended by then
+FAULT_SHARE = 0.05  # of the chunks of one direction
+LONG_DELAY_S = 2.0  # of requests to a server: their clients have stopped waiting by then
 
 
 @dataclass(frozen=True, slots=True)
 class DeliberateBreach:
-    """What is done between the parties, or to the processes, that no deployment does."""
+    """Faults of the network, of discovery or of a process that do not occur in a deployment."""
 
     client_to_balancer: StreamFaults = NO_STREAM_FAULTS
     balancer_to_client: StreamFaults = NO_STREAM_FAULTS
     balancer_to_server: StreamFaults = NO_STREAM_FAULTS
-    hides_drains: bool = False  # discovery leaves them out
-    hides_starts: bool = False  # discovery tells servers that start as old ones
-    suspends_process: bool = False  # it gets no processor time from its start on
-    crashes_process: bool = False
+    hides_drains: bool = False  # discovery keeps listing draining servers as active
+    hides_starts: bool = False  # discovery does not say that servers have just started
+    suspends_process: bool = False  # a balancer is stopped (SIGSTOP) from its start on
+    crashes_process: bool = False  # a balancer gets SIGSEGV
 
 
 NO_DELIBERATE_BREACH = DeliberateBreach()
--- a/emulator/soak/records.py
+++ b/emulator/soak/records.py
@@ -1,4 +1,7 @@
-"""What clients, servers and discovery note while a soak runs; times are seconds of one monotonic clock."""
+"""Records of clients, servers, discovery and balancer processes during a soak run.
+
+All times are seconds of one monotonic clock.
+"""
 
 from __future__ import annotations
 
@@ -7,94 +10,95 @@
 
 
 class Idempotency(enum.Enum):
-    """What it does to run a request twice."""
+    """Whether a request may be executed twice; the values are those of the settings."""
 
-    SAFE = "pure"  # the words of the settings
+    SAFE = "pure"
     KEYED = "token"
     UNSAFE = "side_effect"
 
 
 class AttemptOutcome(enum.Enum):
-    """What became of an attempt at its server."""
+    """How an attempt ended at its server."""
 
     OPEN = "open"
     ANSWERED = "answered"
-    REJECTED = "turned away"  # with a promise that it never ran
+    REJECTED = "turned away"  # with a response which promises that it was not executed
     RESET = "reset"
-    CANCELLED = "given up"  # by the balancer
+    CANCELLED = "given up"  # by the balancer, which closed the connection or sent more data
 
 
 @dataclass(slots=True)
 class RequestRecord:
-    """One request as its client saw it."""
+    """A request as its client saw it."""
 
     id: str
     balancer_index: int
     idempotency: Idempotency
     client_timeout_s: float
-    earlier_response_count: int  # on the same connection
-    sent_at: float = 0.0  # its last byte
-    client_closed_at: float | None = None  # its client closed the connection
-    ended_at: float | None = None  # the last byte of its answer, or the end of its connection
-    status: int | None = None  # None: no whole answer has come
-    body: bytes = b""
-    response_bytes: int = 0  # that came, be the answer whole or not
-    retry_id: str | None = None  # the id by which the client sent it once more
+    earlier_response_count: int  # received before on the same connection
+    sent_at: float = 0.0  # last byte
+    client_closed_at: float | None = None  # the client closed the connection before a response
+    ended_at: float | None = None  # last byte of the response, or the connection ended
+    status: int | None = None  # None: no complete response was received
+    body: bytes = b""  # of the response
+    response_bytes: int = 0  # received, also of an incomplete response
+    retry_id: str | None = None  # the id under which the client sent the request again
 
     def closed_at(self) -> float | None:
-        """When nothing more may be begun for it."""
+        """Return when the request was closed: no attempt may start for it after that."""
         times = [time for time in (self.client_closed_at, self.ended_at) if time is not None]
         return min(times, default=None)
 
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """One attempt as its server saw it."""
+    """An attempt as its server saw it."""
 
     request_id: str
     server_name: str
-    first_byte_at: float  # its first byte
-    last_byte_at: float  # its last byte
-    deadline_ms: int
-    body: bytes = b""  # of the answer
+    first_byte_at: float
+    last_byte_at: float
+    deadline_ms: int  # X-Deadline-Ms as the balancer forwarded it
+    body: bytes = b""  # of the response
     outcome: AttemptOutcome = AttemptOutcome.OPEN
     ended_at: float | None = None
 
 
 @dataclass(slots=True)
 class ServerRecord:
-    """What the rules need to know of one server process."""
+    """A server process."""
 
     name: str
-    started_at: float | None = None  # None: long ago
-    warm_requests_per_s: float = 0.0  # when warm
+    started_at: float | None = None  # None: long before the run
+    warm_requests_per_s: float = 0.0  # its capacity when warm
 
 
 @dataclass(slots=True)
 class ProcessRecord:
-    """One balancer process."""
+    """A balancer process."""
 
     balancer_index: int
     started_at: float
     ready_at: float | None = None
-    sigterm_at: float | None = None
-    sigkill_at: float | None = None  # when SIGKILL was sent
+    sigterm_at: float | None = None  # SIGTERM sent
+    sigkill_at: float | None = None  # SIGKILL sent
     ended_at: float | None = None
     exit_code: int | None = None
 
 
 @dataclass(slots=True)
 class DrainRecord:
-    """A change that takes a server out of service, and when each balancer counts as told of it."""
+    """A change of the server list that takes a server out of service."""
 
     server_name: str
     changed_at: float
+    # Index of a balancer to the time from which it counts as informed of the change.
     informed_at: dict[int, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class Lag:
-    """How late the recording process itself was."""
+    """A delay of the recording process itself, in which clients, servers and discovery run."""
 
     measured_at: float
     lag_s: float
@@ -102,7 +106,7 @@
 
 @dataclass(slots=True)
 class RunRecords:
-    """All records of one run."""
+    """All records of a run."""
 
     requests: dict[str, RequestRecord] = field(default_factory=dict)
     attempts: list[AttemptRecord] = field(default_factory=list)
@@ -110,13 +114,13 @@
     servers: dict[str, ServerRecord] = field(default_factory=dict)
     drains: list[DrainRecord] = field(default_factory=list)
     lags: list[Lag] = field(default_factory=list)
-    clients_stopped_at: float = 0.0  # when the clients stopped asking
+    clients_stopped_at: float = 0.0  # the clients have sent their last requests and stopped waiting
 
     def attempts_of(self, request_id: str) -> list[AttemptRecord]:
-        """The attempts of one request, in the order of their arrival."""
+        """Return the attempts of a request, ordered by their last byte."""
         attempts = [attempt for attempt in self.attempts if attempt.request_id == request_id]
         return sorted(attempts, key=lambda attempt: attempt.last_byte_at)
 
     def max_lag_s(self) -> float:
-        """The longest that the recording process was late."""
+        """Return the longest delay of the recording process in seconds."""
         return max((lag.lag_s for lag in self.lags), default=0.0)
--- a/emulator/soak/rules.py
+++ b/emulator/soak/rules.py
@@ -1,4 +1,4 @@
-"""The rules of the protocol, checked against the records of clients and servers alone."""
+"""Checks the rules of the protocol, using only the records of a run."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
     AttemptOutcome,
     AttemptRecord,
     Idempotency,
-    RunRecords,
     ProcessRecord,
     RequestRecord,
+    RunRecords,
 )
 
-LATE_RESPONSE_GRACE_S = 0.5  # after its time an answer only earns nothing; later it is lost
-CLIENT_WAIT_MARGIN_S = 0.06  # that a client waits beyond its time; a balancer may miss that
-MAX_LATE_RESPONSE_SHARE = 1 / 500  # for so many of its requests
-ATTEMPT_AFTER_CLOSE_GRACE_S = 0.1  # so long after a request's end an attempt may still begin
-MAX_DEADLINE_EXCESS_S = 0.15  # by which the deadline passed to a server may exceed what is left
+# Up to this long after the client timeout a response earns nothing, but does not count as lost.
+LATE_RESPONSE_GRACE_S = 0.5
+CLIENT_WAIT_MARGIN_S = 0.06  # clients wait this long beyond their timeout; a response after that is late
+MAX_LATE_RESPONSE_SHARE = 1 / 500  # of a balancer's requests may be answered late
+ATTEMPT_AFTER_CLOSE_GRACE_S = 0.1  # an attempt may still start this long after its request was closed
+MAX_DEADLINE_EXCESS_S = 0.15  # by which the deadline sent to a server may exceed the remaining time
 MAX_STARTUP_S = 10.0
-SOCKET_MARGIN_S = 0.05  # that each time limit is longer on sockets
+SOCKET_MARGIN_S = 0.05  # added to each time limit, for the way over sockets
 REJECTION_STATUSES = (429, 503)
-PROXY_STEP_COUNT = (
-    4  # of a request through the recording process, each late by its lag: connect, read, write, arrive
-)
-SMALL_REQUEST_COUNT = 30  # a slow-start allowance under which chance counts for more
+# Steps of a proxied request in the recording process, each delayed by its lag: connect, read, write, arrive.
+PROXY_STEP_COUNT = 4
+SMALL_REQUEST_COUNT = 30  # with fewer expected requests the slow-start limit leaves more room for chance
 
 
 class Rule(enum.Enum):
-    """What may be broken."""
+    """A rule of the protocol; the value is its name in reports and for `--plant`."""
 
     LOST = "lost"
     WRONG_RESPONSE = "wrong answer"
@@ -48,7 +48,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """One broken rule with the request, process or server that broke it."""
+    """A broken rule.
+
+    `subject` is the id of a request, the name of a server or "balancer" with an index.
+    """
 
     rule: Rule
     subject: str
@@ -57,22 +60,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ProtocolLimits:
-    """What the settings of the run allow."""
+    """Limits that the settings of the run state."""
 
     longest_client_timeout_s: float
     drain_grace_s: float
-    dedup_window_s: float  # in which servers drop the repeats of a keyed request
+    dedup_window_s: float  # within which servers drop repeats of a keyed request
     cold_capacity_share: float
     warm_up_s: float
-    overload_multiple: float
-    overload_window_s: float
+    overload_multiple: float  # a cold server fails above this multiple of its present capacity
+    overload_window_s: float  # over this time
     max_attempts: int
 
 
 class RuleChecker:
-    """Checks one run; what the recording process itself was late by is no breach.
+    """Checks the records of one run; delays of the recording process itself are no breach.
 
-    `proxied`: requests come through proxies in that process, and are late by its lag more than once.
+    `proxied`: requests pass through proxies in the recording process, which adds its lag several times.
     """
 
     def __init__(self, run_records: RunRecords, limits: ProtocolLimits, proxied: bool = False) -> None:
@@ -85,7 +88,7 @@
             self.attempts_by_request[attempt.request_id].append(attempt)
 
     def find_breaches(self) -> list[Breach]:
-        """All rules that were broken."""
+        """Return all breaches of rules."""
         breaches: list[Breach] = []
         for request in self.run_records.requests.values():
             breaches += self._check_request(request)
@@ -103,13 +106,15 @@
         if reason := self._loss_reason(request, attempts):
             yield Breach(Rule.LOST, request.id, reason)
         if request.status == 200 and request.body not in [attempt.body for attempt in attempts]:
-            yield Breach(Rule.WRONG_RESPONSE, request.id, f"no server made {request.body[:60]!r} for it")
+            yield Breach(
+                Rule.WRONG_RESPONSE, request.id, f"no server sent the response {request.body[:60]!r} for it"
+            )
         yield from self._check_attempts_after_close(request, attempts)
         yield from self._check_executions(request, attempts)
         yield from self._check_forwarded_deadlines(request, attempts)
 
     def _loss_reason(self, request: RequestRecord, attempts: list[AttemptRecord]) -> str:
-        """Why a request that was taken has not got its final answer, or nothing."""
+        """Return why a request counts as lost, or an empty string if it does not."""
         if request.client_closed_at is not None or self._was_killed_without_sigterm(request):
             return ""
         if request.status is None:
@@ -119,18 +124,22 @@
                 and request.ended_at is not None
             )
             if was_reused_and_unanswered and not attempts:
-                return ""  # the close of a resting connection crossed it: its client sends it once more
+                # The balancer closed the idle connection while the request was on its way. The client sends
+                # it again.
+                return ""
             return (
-                "its connection ended with no whole answer" if request.ended_at else "it was never answered"
+                "the connection ended without a complete response"
+                if request.ended_at
+                else "no response was received"
             )
         assert request.ended_at is not None
         lateness_s = request.ended_at - request.sent_at - request.client_timeout_s
         if lateness_s > LATE_RESPONSE_GRACE_S + self.timing_margin_s:
-            return f"it was answered {lateness_s:.3f} s after its time"
+            return f"response {lateness_s:.3f} s after the client timeout"
         return ""
 
     def _check_late_responses(self) -> Iterator[Breach]:
-        """Final answers that their clients did not wait for, which may be a few of each balancer's."""
+        """Check that few responses of each balancer come after their clients have stopped waiting."""
         request_counts: Counter[int] = Counter()
         late_request_ids: defaultdict[int, list[str]] = defaultdict(list)
         for request in self.run_records.requests.values():
@@ -146,13 +155,13 @@
         for balancer_index, request_ids in late_request_ids.items():
             if len(request_ids) > max(1.0, request_counts[balancer_index] * MAX_LATE_RESPONSE_SHARE):
                 detail = (
-                    f"{len(request_ids)} of {request_counts[balancer_index]} answers "
-                    f"of balancer {balancer_index} after their time"
+                    f"{len(request_ids)} of {request_counts[balancer_index]} requests "
+                    f"to balancer {balancer_index} answered after the client timeout"
                 )
                 yield Breach(Rule.LOST, request_ids[0], detail)
 
     def _was_killed_without_sigterm(self, request: RequestRecord) -> bool:
-        """Whether its balancer was killed outright under it, which nothing is owed for."""
+        """Whether SIGKILL without SIGTERM ended its balancer during the request: it may be lost then."""
         ended_at = request.ended_at if request.ended_at is not None else math.inf
         return any(
             process.balancer_index == request.balancer_index
@@ -173,7 +182,7 @@
                 yield Breach(
                     Rule.FORWARDED_AFTER_CLOSE,
                     request.id,
-                    f"at {attempt.server_name} {lateness_s:.3f} s after its end",
+                    f"attempt at {attempt.server_name} {lateness_s:.3f} s after the request was closed",
                 )
 
     def _check_executions(self, request: RequestRecord, attempts: list[AttemptRecord]) -> Iterator[Breach]:
@@ -181,19 +190,25 @@
             attempt for attempt in attempts if attempt.outcome is not AttemptOutcome.REJECTED
         ]
         if request.idempotency is Idempotency.UNSAFE and len(possibly_executed) > 1:
-            yield Breach(Rule.DUPLICATE, request.id, f"it may have run {len(possibly_executed)} times")
+            yield Breach(Rule.DUPLICATE, request.id, f"possibly executed {len(possibly_executed)} times")
         if request.idempotency is Idempotency.KEYED and possibly_executed:
             span_s = possibly_executed[-1].first_byte_at - possibly_executed[0].first_byte_at
             if span_s > self.limits.dedup_window_s + self.timing_margin_s:
-                yield Breach(Rule.DUPLICATE, request.id, f"repeated {span_s:.3f} s after its first attempt")
+                yield Breach(Rule.DUPLICATE, request.id, f"repeated {span_s:.3f} s after the first attempt")
         if len(attempts) > self.limits.max_attempts:
-            yield Breach(Rule.DUPLICATE, request.id, f"{len(attempts)} attempts")
+            yield Breach(
+                Rule.DUPLICATE, request.id, f"{len(attempts)} attempts, more than the settings allow"
+            )
         if (
             request.idempotency is Idempotency.UNSAFE
             and request.status in REJECTION_STATUSES
             and possibly_executed
         ):
-            yield Breach(Rule.REJECTED_POSSIBLY_EXECUTED, request.id, f"answered {request.status}")
+            yield Breach(
+                Rule.REJECTED_POSSIBLY_EXECUTED,
+                request.id,
+                f"answered {request.status}, but possibly executed",
+            )
 
     def _check_forwarded_deadlines(
         self, request: RequestRecord, attempts: list[AttemptRecord]
@@ -205,7 +220,7 @@
                 yield Breach(
                     Rule.FORWARDED_DEADLINE,
                     request.id,
-                    f"{attempt.server_name} was told {excess_s:.3f} s too much",
+                    f"deadline sent to {attempt.server_name} exceeds the remaining time by {excess_s:.3f} s",
                 )
 
     # ---- processes ----
@@ -219,11 +234,11 @@
             self.run_records.clients_stopped_at,
         )
         if min(ready_at, end_requested_at) - process.started_at > MAX_STARTUP_S + self.timing_margin_s:
-            yield Breach(Rule.NOT_READY, subject, f"not within {MAX_STARTUP_S:.0f} s of its start")
+            yield Breach(Rule.NOT_READY, subject, f"not ready within {MAX_STARTUP_S:.0f} s after its start")
         if process.exit_code is not None and process.exit_code != 0 and process.sigkill_at is None:
-            yield Breach(Rule.CRASH, subject, f"it ended with {process.exit_code}")
+            yield Breach(Rule.CRASH, subject, f"exited with code {process.exit_code}")
         if process.exit_code == 0 and process.sigterm_at is None:
-            yield Breach(Rule.CRASH, subject, "it ended though nobody had asked it to")
+            yield Breach(Rule.CRASH, subject, "exited without having been sent SIGTERM")
 
     # ---- servers ----
 
@@ -246,7 +261,7 @@
                     yield Breach(
                         Rule.SENT_TO_DRAINING,
                         request.id,
-                        f"{drain.server_name} {lateness_s:.3f} s past the grace",
+                        f"attempt at {drain.server_name} {lateness_s:.3f} s after the drain grace",
                     )
 
     def _check_slow_starts(self) -> Iterator[Breach]:
@@ -272,7 +287,7 @@
                     yield Breach(
                         Rule.SLOW_START,
                         server.name,
-                        f"{index - window_start + 1} in a window, {max_count:.1f} at most",
+                        f"{index - window_start + 1} requests in an overload window, {max_count:.1f} at most",
                     )
                     break
 
@@ -293,33 +308,37 @@
 
 
 def request_timeline(run_records: RunRecords, request_id: str) -> list[str]:
-    """The times of a request on both sides, a line each, from its last byte on."""
+    """Describe a request, its attempts and its balancer's processes in a line each.
+
+    Times are relative to when the request's last byte was sent. Returns no lines if there is no such request.
+    """
     request = run_records.requests.get(request_id)
     if request is None:
         return []
     ended = f"{request.ended_at - request.sent_at:+.3f} s" if request.ended_at is not None else "never"
-    left = (
-        f", its client left {request.client_closed_at - request.sent_at:+.3f} s"
+    closed = (
+        f", closed by its client {request.client_closed_at - request.sent_at:+.3f} s"
         if request.client_closed_at
         else ""
     )
     kind = request.idempotency.name.lower()
     lines = [
-        f"{kind} request to balancer {request.balancer_index}, waits {request.client_timeout_s:.3f} s, "
-        f"{request.earlier_response_count} answers before it on its connection: status {request.status}, "
-        f"{request.response_bytes} bytes of an answer, ended {ended}{left}"
+        f"{kind} request to balancer {request.balancer_index}, "
+        f"client timeout {request.client_timeout_s:.3f} s, "
+        f"{request.earlier_response_count} earlier responses on its connection: status {request.status}, "
+        f"{request.response_bytes} response bytes, ended {ended}{closed}"
     ]
     for attempt in run_records.attempts_of(request_id):
         end = f"{attempt.ended_at - request.sent_at:+.3f} s" if attempt.ended_at is not None else ""
         lines.append(
-            f"at {attempt.server_name} {attempt.first_byte_at - request.sent_at:+.3f} s, "
-            f"told {attempt.deadline_ms} ms: {attempt.outcome.value} {end}"
+            f"attempt at {attempt.server_name} {attempt.first_byte_at - request.sent_at:+.3f} s, "
+            f"forwarded deadline {attempt.deadline_ms} ms: {attempt.outcome.value} {end}"
         )
     for process in run_records.processes:
         if process.balancer_index == request.balancer_index:
             marks = {"SIGTERM": process.sigterm_at, "SIGKILL": process.sigkill_at, "end": process.ended_at}
             times = [f"{name} {at - request.sent_at:+.3f} s" for name, at in marks.items() if at is not None]
             lines.append(
-                f"its process: start {process.started_at - request.sent_at:+.3f} s, {', '.join(times)}"
+                f"balancer process: start {process.started_at - request.sent_at:+.3f} s, {', '.join(times)}"
             )
     return lines
