--- a/emulator/soak/balancers.py
+++ b/emulator/soak/balancers.py
@@ -1,4 +1,4 @@
-"""The real balancer processes of a soak: started, told to end, killed as early as allowed, started anew."""
+"""Starts, stalls, restarts and kills the real balancer processes of a soak run."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 from emulator.soak.records import ProcessRecord, RunRecords
 
 READY_POLL_INTERVAL_S = 0.02
-DEREGISTRATION_DELAY_S = 0.3  # after SIGTERM the front goes on dealing out connections for so long
-MIN_STALL_INTERVAL_S = 1.0  # one at a time is what the terms allow
-RESTART_PAUSE_S = 0.3  # from the end of a process to the start of the next one
+DEREGISTRATION_DELAY_S = 0.3  # after SIGTERM the front load balancer still assigns new connections this long
+MIN_STALL_INTERVAL_S = 1.0  # balancers have to cope with single stalls only
+RESTART_PAUSE_S = 0.3  # from the exit of a process to the start of the next one
 
 
 class ManagedBalancer:
-    """One balancer; its address stays, its processes come and go."""
+    """A balancer that keeps its address while its processes are restarted."""
 
     def __init__(
         self,
@@ -47,26 +47,26 @@
         self.folder = folder
         self.environment = environment
         self.run_records = run_records
-        self.discovery_address_index = 0  # which of its two
+        self.discovery_address_index = 0  # which of its two discovery addresses
         self.process: asyncio.subprocess.Process | None = None
         self.record: ProcessRecord | None = None
-        self.last_stalled_at = -math.inf  # when it last got no processor time
+        self.last_stalled_at = -math.inf
         self.may_stall = True
 
     @property
     def config_path(self) -> Path:
-        """The file that NODE_CONFIG names."""
+        """The configuration file that NODE_CONFIG names."""
         return self.folder / f"balancer-{self.index}.json"
 
     def is_in_service(self) -> bool:
-        """Whether the front deals out connections to it."""
+        """Whether the front load balancer assigns new connections to it."""
         record = self.record
         if record is None or record.ready_at is None or record.sigkill_at is not None:
             return False
         return record.sigterm_at is None or time.monotonic() < record.sigterm_at + DEREGISTRATION_DELAY_S
 
     async def start(self) -> None:
-        """Start a process; returns before it is ready."""
+        """Start a process and wait until it is ready, has exited or has been sent SIGTERM."""
         self._write_config()
         self.record = ProcessRecord(self.index, time.monotonic())
         self.run_records.processes.append(self.record)
@@ -78,7 +78,7 @@
 
     def _write_config(self) -> None:
         host, port = self.discovery.addresses[self.index][self.discovery_address_index]
-        known_list = msgspec.to_builtins(self.discovery.listing(None))
+        known_list = msgspec.to_builtins(self.discovery.build_listing(None))
         config_text = json.dumps(
             {
                 "name": f"n{self.index}",
@@ -106,14 +106,14 @@
             await asyncio.sleep(READY_POLL_INTERVAL_S)
 
     def switch_discovery(self) -> None:
-        """Move it to its other discovery address."""
+        """Make it use its other discovery address, by a new configuration and SIGHUP."""
         self.discovery_address_index = 1 - self.discovery_address_index
         self.discovery.agents[self.index].address_changed_at = time.monotonic()
         self._write_config()
         self._signal(signal.SIGHUP)
 
     async def restart(self) -> None:
-        """End it as a planned restart does, and start it anew."""
+        """Restart it as a deployment does: SIGTERM, SIGKILL if it does not exit in time, a new process."""
         record, process = self.record, self.process
         if (
             record is None
@@ -133,7 +133,7 @@
         await self._restart_after_exit()
 
     async def kill(self) -> None:
-        """Kill it outright, and start it anew."""
+        """Send SIGKILL without SIGTERM, and start a new process."""
         if self.record is None or self.record.sigterm_at is not None:
             return
         self.record.sigkill_at = time.monotonic()
@@ -141,9 +141,9 @@
         await self._restart_after_exit()
 
     async def stall(self) -> None:
-        """Give its process no processor time for a moment, unless it had none a moment ago.
+        """Stop its process for STALL_S, unless its last stall is less than MIN_STALL_INTERVAL_S ago.
 
-        One that the shim holds up now and then is left alone: the terms know of one hold at a time.
+        A process that the shim stalls is left alone: it has to cope with one stall at a time only.
         """
         stalled_process, now = self.process, time.monotonic()
         is_stalled_by_shim = any(
@@ -167,13 +167,13 @@
         await self.start()
 
     async def record_exit(self) -> None:
-        """Wait for the process's end and record it."""
+        """Wait until the process has exited and record when and how."""
         if self.process is not None and self.record is not None:
             self.record.exit_code = await self.process.wait()
             self.record.ended_at = time.monotonic()
 
     async def stop(self) -> None:
-        """End it for good, whatever it does."""
+        """Kill its process and give up its port."""
         self.port_reservation.close()
         if self.process is not None and self.process.returncode is None:
             self.process.kill()
@@ -186,5 +186,5 @@
 
 
 def shim_environment(faults: Faults, library: Path) -> dict[str, str]:
-    """What the shim needs, or nothing where nothing is to fail."""
+    """Return the environment variables of the shim, or none if there are no faults to inject."""
     return faults.environment(library) if faults.rules or faults.clock_steps else {}
--- a/emulator/soak/clients.py
+++ b/emulator/soak/clients.py
@@ -1,4 +1,7 @@
-"""Clients of a soak: they use their connections until these are closed, some leave, some write in pieces."""
+"""Simulated clients of a soak run.
+
+They keep their connections alive. Some abandon requests, some send a request in two parts, some stay idle.
+"""
 
 from __future__ import annotations
 
@@ -14,22 +17,24 @@
 from emulator.soak.records import Idempotency, RequestRecord, RunRecords
 
 CLASS_NAMES = {Idempotency.SAFE: "read", Idempotency.KEYED: "write", Idempotency.UNSAFE: "order"}
-RESPONSE_WAIT_MARGIN_S = 2.0  # after its time a client waits no longer: the request is lost by then
-SPLIT_WRITE_PAUSE_S = 0.004
-MAX_START_DELAY_S = 1.0  # all at once would make the recorder late
-RETRY_ID_SUFFIX = "-again"  # of the id by which a request is sent once more
+# The simulated clients wait this long beyond their timeout, to record late responses; then the request is
+# lost.
+RESPONSE_WAIT_MARGIN_S = 2.0
+SPLIT_WRITE_PAUSE_S = 0.004  # between the two parts of a request
+MAX_START_DELAY_S = 1.0  # starting all clients at once would delay the recording process
+RETRY_ID_SUFFIX = "-again"  # appended to the id of a request that is sent again
 
 
 @dataclass(frozen=True, slots=True)
 class ClientProfile:
-    """How the clients of one run behave."""
+    """How the clients of a run behave."""
 
     client_count: int
-    mean_think_time_s: float  # mean pause between two requests of a client
-    abandon_share: float
-    split_write_share: float
-    idle_client_count: int  # clients that connect, ask once at the most, and stay
-    client_timeouts_s: dict[Idempotency, float]
+    mean_think_time_s: float  # between two requests of a client
+    abandon_share: float  # of the requests: the client may close the connection within its timeout
+    split_write_share: float  # of the requests: sent in two parts
+    idle_client_count: int  # clients that keep a connection open without sending a request
+    client_timeouts_s: dict[Idempotency, float]  # longest client timeout of each class
 
 
 class ClientConnection:
@@ -45,13 +50,17 @@
         self.is_open = True
 
     def close(self) -> None:
-        """Close it, as a client that leaves does."""
+        """Close the connection, as a client does that abandons its request."""
         self.is_open = False
         self.writer.transport.abort()
 
 
 class Clients:
-    """All clients; `addresses` are the balancers', `in_service` says which of them a front would choose."""
+    """All clients of a run.
+
+    `addresses` are those of the balancers; `is_in_service` tells, by index, which balancers the front load
+    balancer assigns new connections to.
+    """
 
     def __init__(
         self,
@@ -70,7 +79,7 @@
         self.stopping = False
 
     async def run(self, until: float) -> None:
-        """Ask until that time, and wait for the last answers."""
+        """Send requests until this time, and wait for the last responses."""
         tasks = [
             asyncio.create_task(self._run_client(until)) for _ in range(self.client_profile.client_count)
         ]
@@ -80,7 +89,7 @@
         ]
         await asyncio.gather(*tasks)
 
-    # ---- one client ----
+    # ---- clients ----
 
     async def _run_client(self, until: float) -> None:
         connection: ClientConnection | None = None
@@ -107,7 +116,7 @@
             await asyncio.sleep(self.random.uniform(0.05, 0.2))
 
     async def _connect(self) -> ClientConnection | None:
-        candidates = [number for number in range(len(self.addresses)) if self.is_in_service(number)]
+        candidates = [index for index in range(len(self.addresses)) if self.is_in_service(index)]
         if not candidates:
             return None
         balancer_index = self.random.choice(candidates)
@@ -118,7 +127,7 @@
         except OSError:
             return None
 
-    # ---- one request ----
+    # ---- requests ----
 
     async def _request_photo(self, connection: ClientConnection) -> None:
         idempotency = self.random.choice(list(Idempotency))
@@ -127,6 +136,7 @@
         was_unanswered = (
             record.status is None and record.client_closed_at is None and not record.response_bytes
         )
+        # The balancer may have closed the idle connection while the request was on its way.
         if was_unanswered and record.earlier_response_count:
             retry_connection = await self._connect()
             if retry_connection is not None:
@@ -172,9 +182,9 @@
     @staticmethod
     async def _read_response(connection: ClientConnection, record: RequestRecord) -> None:
         reader = connection.reader
-        first = await reader.readexactly(1)
+        first_byte = await reader.readexactly(1)
         record.response_bytes = 1
-        lines = (first + await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
+        lines = (first_byte + await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
         headers = {
             key.lower(): value.strip() for key, _, value in (line.partition(":") for line in lines[1:])
         }
--- a/emulator/soak/discovery.py
+++ b/emulator/soak/discovery.py
@@ -1,4 +1,4 @@
-"""Stand-in discovery of a soak: an agent for each balancer, which can be silent or reset its calls."""
+"""Stand-in discovery of a soak run, with an agent per balancer that can be silent or reset its calls."""
 
 from __future__ import annotations
 
@@ -17,14 +17,15 @@
 from emulator.soak.records import DrainRecord, RunRecords
 from emulator.soak.servers import Server
 
-INFORMED_AFTER_S = 6.0  # after discovery had a change and could be reached
-ADDRESS_CHANGE_S = 4.0  # after a move to another address
-CHECK_INTERVAL_S = 0.02  # between two looks whether a change counts as told by now
+# In ask mode a balancer counts as informed of a change this long after an agent that it can reach has it.
+INFORMED_AFTER_S = 6.0
+ADDRESS_CHANGE_S = 4.0  # a changed discovery address is in use this long after the change at the latest
+CHECK_INTERVAL_S = 0.02  # between two checks which balancers count as informed
 
 
 @dataclass(slots=True)
 class ListEntry:
-    """One server of the list."""
+    """A server of the list."""
 
     server: Server
     lifecycle: str
@@ -33,30 +34,30 @@
 
 @dataclass(slots=True)
 class DiscoveryAgent:
-    """Where one balancer asks; it may be silent until some time."""
+    """The discovery agent of one balancer; it does not respond before `silent_until`."""
 
     balancer_index: int
     silent_until: float = 0.0
-    address_changed_at: float = -math.inf  # when the balancer was last told to ask at its other address
+    address_changed_at: float = -math.inf  # when the balancer last got its other discovery address
     writers: set[asyncio.StreamWriter] = field(default_factory=set)
 
     def available_at(self, changed_at: float) -> float:
-        """When a change counts as with this agent, and in reach of its balancer."""
-        at = max(changed_at, self.silent_until)
+        """Return when this agent has a change and the balancer can reach the agent."""
+        ready_at = max(changed_at, self.silent_until)
         return (
-            at
-            if at < self.address_changed_at - ADDRESS_CHANGE_S
-            else max(at, self.address_changed_at + ADDRESS_CHANGE_S)
+            ready_at
+            if ready_at < self.address_changed_at - ADDRESS_CHANGE_S
+            else max(ready_at, self.address_changed_at + ADDRESS_CHANGE_S)
         )
 
     def reset_connections(self) -> None:
-        """Reset all open calls."""
+        """Close the connections of all open calls with a reset."""
         for writer in list(self.writers):
             writer.transport.abort()
 
 
 class Discovery:
-    """The list of servers, its changes, and what each balancer has been told of them."""
+    """The server list, its changes, and when each balancer is informed of them."""
 
     def __init__(
         self,
@@ -70,19 +71,19 @@
         self.run_records = run_records
         self.generation = 1
         self.entries: dict[str, ListEntry] = {}
-        self.agents = [DiscoveryAgent(number) for number in range(balancer_count)]
+        self.agents = [DiscoveryAgent(index) for index in range(balancer_count)]
         self.addresses: list[list[tuple[str, int]]] = [[] for _ in range(balancer_count)]
         self.changed = asyncio.Event()
 
     async def listen(self) -> None:
-        """Serve each balancer at two addresses, so that it can be moved from one to the other."""
+        """Serve each balancer at two addresses, so that it can be switched from one to the other."""
         for agent in self.agents:
             for _ in range(2):
                 server = await asyncio.start_server(partial(self._serve, agent), "127.0.0.1", 0)
                 self.addresses[agent.balancer_index].append(server.sockets[0].getsockname()[:2])
 
     def update_server(self, server: Server, lifecycle: str) -> None:
-        """Change one entry; one that goes out of service is noted, to be held against what is sent to it."""
+        """Change one entry of the list, and record a drain if the server goes out of service."""
         self.generation += 1
         hides_drain = lifecycle == "leaving" and self.deliberate_breach.hides_drains
         self.entries[server.name] = ListEntry(server, "active" if hides_drain else lifecycle, self.generation)
@@ -91,8 +92,8 @@
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def listing(self, since: int | None) -> Listing:
-        """The whole list, or the changes since a generation."""
+    def build_listing(self, since: int | None) -> Listing:
+        """Return the full list if `since` is None or unknown, otherwise the changes since that generation."""
         is_full = since is None or since > self.generation
         selected = [e for e in self.entries.values() if is_full or e.generation > (since or 0)]
         instances = [self._build_instance(e) for e in selected if not (is_full and e.lifecycle == "left")]
@@ -111,9 +112,9 @@
         )
 
     async def track_informed_balancers(self) -> None:
-        """Note who counts as told by now though nothing has reached them; runs until it is cancelled.
+        """Record which balancers count as informed although no response has reached them, until cancelled.
 
-        Where lists are pushed, what the agent has counts at once.
+        In push mode they count as informed as soon as their agent has the change and can be reached.
         """
         informed_delay_s = 0.0 if self.push_mode else INFORMED_AFTER_S
         while True:
@@ -121,12 +122,12 @@
             now = time.monotonic()
             for drain in self.run_records.drains:
                 for agent in self.agents:
-                    at = agent.available_at(drain.changed_at) + informed_delay_s
-                    if now > at:
-                        drain.informed_at.setdefault(agent.balancer_index, at)
+                    informed_at = agent.available_at(drain.changed_at) + informed_delay_s
+                    if now > informed_at:
+                        drain.informed_at.setdefault(agent.balancer_index, informed_at)
 
     def note_process_start(self, balancer_index: int) -> None:
-        """A process that starts has the whole list with its configuration."""
+        """Record that a starting process is informed of all changes: its configuration has the full list."""
         self._note_informed(balancer_index)
 
     def _note_informed(self, balancer_index: int) -> None:
@@ -159,7 +160,7 @@
                     await self.changed.wait()
         await asyncio.sleep(max(0.0, agent.silent_until - time.monotonic()))
         if reader.at_eof():
-            raise ConnectionResetError("the balancer has given the call up")
-        body = msgspec.json.encode(self.listing(since))
+            raise ConnectionResetError("the balancer has closed the connection of its call")
+        body = msgspec.json.encode(self.build_listing(since))
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
         self._note_informed(agent.balancer_index)
--- a/emulator/soak/plan.py
+++ b/emulator/soak/plan.py
@@ -1,4 +1,4 @@
-"""What one run of a soak does, drawn from its seed alone."""
+"""The plan of one soak run, which depends on its seed and length alone."""
 
 from __future__ import annotations
 
@@ -25,17 +25,15 @@
 
 NS_PER_S = 1_000_000_000
 HOUR_S = 3600
-MAX_CLIENTS = 120  # more would make the recorder itself late
-LARGE_FLEET_SHARE = 0.04  # of the seeds play with up to thirty balancers
-EXTRA_SIGKILL_DELAY_S = 0.7  # beyond the longest deadline, which counts for 3 s at the most
-MAX_COUNTED_CLIENT_TIMEOUT_S = 3.0
-LOAD_SHARE = 0.7  # of what all server_count together are good for
-STALL_S = 0.14  # that a process gets no processor time for at any at_s; terms allow 0.15
-STALLS_PER_BALANCER = (
-    6  # of each balancer, beside one over SIGTERM and one over the last stall_times_s before SIGKILL
-)
-CLOCK_STALL_MS = 90  # that it is held up at a reading of its clock, as often as the share below says
-CLOCK_STALL_SHARE = 0.0004
+MAX_CLIENTS = 120  # more would delay the recording process itself
+LARGE_FLEET_SHARE = 0.04  # share of the seeds whose runs have 15 to 30 balancers
+EXTRA_SIGKILL_DELAY_S = 0.7  # from SIGTERM to the earliest SIGKILL, in addition to the longest client timeout
+MAX_COUNTED_CLIENT_TIMEOUT_S = 3.0  # a longer client timeout does not delay SIGKILL further
+LOAD_SHARE = 0.7  # load as a share of the capacity of all servers
+STALL_S = 0.14  # length of a stall at any moment; a balancer has to cope with 0.15 s
+STALLS_PER_BALANCER = 6  # besides one during SIGTERM and one just before SIGKILL
+CLOCK_STALL_MS = 90  # length of a stall that the shim injects after a reading of the clock
+CLOCK_STALL_SHARE = 0.0004  # share of the readings of the clock with a stall
 CALL_FAULT_SHARES = (0.01, 0.1, 0.3)
 FAULTY_CALLS = (
     SystemCall.ACCEPT,
@@ -48,7 +46,7 @@
 
 
 class Action(enum.Enum):
-    """What happens at one moment of a run."""
+    """What an event of a run does."""
 
     SWITCH_DISCOVERY = "SIGHUP to another discovery address"
     RESTART = "SIGTERM, SIGKILL at its earliest, and a new process"
@@ -63,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One action; which of balancer, server, mode and seconds count is the action's to say."""
+    """An action at a time; the action determines which of the other fields apply."""
 
     at_s: float
     action: Action
@@ -75,24 +73,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One run."""
+    """The plan of one run."""
 
     seed: int
-    seconds: float
+    seconds: float  # length of the run
     balancer_count: int
     server_count: int
-    push_mode: bool
-    mean_work_s: float
-    warm_server_requests_per_s: float  # requests a second that a warm server is good for
+    push_mode: bool  # whether discovery pushes lists; otherwise balancers ask for them
+    mean_work_s: float  # of a server for a request
+    warm_server_requests_per_s: float  # capacity of a warm server
     limits: ProtocolLimits
     client_profile: ClientProfile
     events: tuple[Event, ...]
-    client_network_faults: StreamFaults  # of either direction between client_count and balancers
-    server_response_faults: tuple[StreamFaults, ...]  # of the way back from each server
-    process_faults: tuple[Faults, ...] = field(default=())  # of each balancer's processes
+    client_network_faults: StreamFaults  # in each direction between clients and balancers
+    server_response_faults: tuple[StreamFaults, ...]  # of each server
+    process_faults: tuple[Faults, ...] = field(default=())  # for the processes of each balancer
 
     def build_settings(self) -> dict[str, Any]:
-        """The settings as the protocol words them."""
+        """Return the settings in the format of the protocol."""
         limits = self.limits
         return {
             "az": 0,
@@ -139,7 +137,7 @@
         }
 
     def sigkill_delay_s(self) -> float:
-        """Seconds from SIGTERM to the earliest SIGKILL."""
+        """Return the seconds from SIGTERM to the earliest SIGKILL."""
         return _sigkill_delay_s(self.limits)
 
 
@@ -148,7 +146,7 @@
 
 
 def draw_plan(seed: int, seconds: float) -> Plan:
-    """The run of this seed."""
+    """Draw the plan of a run of `seconds` from its seed."""
     random = Random(f"soak/{seed}")
     balancer_count = random.randint(15, 30) if random.random() < LARGE_FLEET_SHARE else random.randint(2, 5)
     server_count = random.randint(5, 9)
@@ -205,12 +203,12 @@
         action = random.choice([Action.RESTART, Action.RESTART, Action.RESTART, Action.KILL])
         events.append(Event(at_s, action, balancer_index=balancer_index))
         if action is Action.RESTART:
-            shutdown_end_s = at_s + sigkill_delay_s - random.uniform(0.02, 0.5)
+            before_sigkill_s = at_s + sigkill_delay_s - random.uniform(0.02, 0.5)
             events += [
                 Event(stall_at_s, Action.STALL, balancer_index=balancer_index)
-                for stall_at_s in (at_s - 0.01, shutdown_end_s)
+                for stall_at_s in (at_s - 0.01, before_sigkill_s)
             ]
-        events += [  # close together, in any order
+        events += [  # close together and in any order
             Event(at_s + random.uniform(-0.3, 1.0), Action.SWITCH_DISCOVERY, balancer_index=balancer_index)
             for _ in range(random.randint(0, 3))
         ]
@@ -236,7 +234,7 @@
 
 
 def _draw_response_faults(random: Random) -> StreamFaults:
-    """The way back from one server: as it should be, for half of them."""
+    """Draw the faults of the responses of one server: none for half of the servers."""
     if random.random() < 0.5:
         return NO_STREAM_FAULTS
     return StreamFaults(
@@ -248,7 +246,10 @@
 
 
 def _draw_process_faults(random: Random, seed: int) -> Faults:
-    """What the shim does to the processes of one balancer: nothing, to a third of them."""
+    """Draw the faults that the shim injects into the processes of one balancer.
+
+    A third of the balancers have no failing, short or stalled calls; half of them have no clock steps.
+    """
     rules: list[FaultRule] = []
     clock_steps: list[ClockStep] = []
     if random.random() < 0.67:
--- a/emulator/soak/run.py
+++ b/emulator/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of a soak: starts everything, plays the plan, ends everything, judges the records."""
+"""Runs the plan of one seed and checks the records of the run."""
 
 from __future__ import annotations
 
@@ -24,29 +24,29 @@
 from emulator.soak.rules import Breach, Rule, RuleChecker, request_timeline
 from emulator.soak.servers import Server
 
-READY_TIMEOUT_S = 12.0  # for the first processes; whoever is not ready by then has broken its rule
-LAG_SAMPLE_INTERVAL_S = 0.02
+READY_TIMEOUT_S = 12.0  # for the first processes; one that is not ready by then breaks the rule NOT_READY
+LAG_SAMPLE_INTERVAL_S = 0.02  # between two measurements of how late the recording process is
 MIN_RECORDED_LAG_S = 0.01
-LIST_DELAY_S = 1.5
-CRASH_DELAY_S = 2.0
+LIST_DELAY_S = 1.5  # of changes of the server list after an event DELAY_LISTS
+CRASH_DELAY_S = 2.0  # from the start of a process to its deliberate crash
 
 
 @dataclass(frozen=True, slots=True)
 class SoakResult:
-    """What a run came to."""
+    """The result of a run."""
 
     plan: Plan
     breaches: tuple[Breach, ...]
-    timelines: tuple[tuple[str, ...], ...]  # of each breach
+    timelines: tuple[tuple[str, ...], ...]  # one for each breach
     request_count: int
-    served_count: int
-    resent_count: int  # by the close of a resting connection, unread, and sent once more
+    served_count: int  # requests with a response of status 200
+    resent_count: int  # sent again because their idle connection was closed before they were read
     attempt_count: int
     max_lag_s: float
 
 
 class SoakRun:
-    """The parts of one run."""
+    """The balancers, servers, clients and discovery of one run."""
 
     def __init__(self, plan: Plan, folder: Path, library: Path, deliberate_breach: DeliberateBreach) -> None:
         self.plan = plan
@@ -55,22 +55,22 @@
         self.run_records = RunRecords()
         self.discovery = Discovery(plan.balancer_count, plan.push_mode, deliberate_breach, self.run_records)
         self.servers = [
-            self._create_server(f"s{number}", response_faults)
-            for number, response_faults in enumerate(plan.server_response_faults)
+            self._create_server(f"s{index}", response_faults)
+            for index, response_faults in enumerate(plan.server_response_faults)
         ]
         self.proxies: list[FaultProxy] = []
         self.replacement_count = 0
         self.list_delay_s = 0.0
         self.balancers = [
             ManagedBalancer(
-                number,
+                index,
                 plan,
                 self.discovery,
                 folder,
-                shim_environment(plan.process_faults[number], library) if plan.process_faults else {},
+                shim_environment(plan.process_faults[index], library) if plan.process_faults else {},
                 self.run_records,
             )
-            for number in range(plan.balancer_count)
+            for index in range(plan.balancer_count)
         ]
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -87,7 +87,7 @@
         )
 
     async def run(self) -> SoakResult:
-        """Everything from start to end, which comes whatever happens."""
+        """Execute the plan. Everything that was started is stopped at the end, also after an error."""
         try:
             await self._start()
             await self._run_events()
@@ -116,7 +116,7 @@
         self.tasks.update(start for start in starts if not start.done())
 
     async def _client_addresses(self) -> list[tuple[str, int]]:
-        """Where clients connect to each balancer: to the proxy before it, where there is one."""
+        """Return where clients connect to each balancer: its address, or that of a proxy in front of it."""
         network_faults = self._client_network_faults()
         if network_faults == (NO_STREAM_FAULTS, NO_STREAM_FAULTS):
             return [balancer.address for balancer in self.balancers]
@@ -138,18 +138,19 @@
         )
 
     async def _inject_process_fault(self) -> None:
-        """Stop a process as it starts, or crash it later, as no deployment does."""
+        """Suspend the first balancer as it starts, or crash it later, if the run breaks a rule that way."""
         while (process := self.balancers[0].process) is None:
             await asyncio.sleep(LAG_SAMPLE_INTERVAL_S)
         if self.deliberate_breach.suspends_process:
-            self.balancers[0].may_stall = False  # the end of a hold would let it go on
+            self.balancers[0].may_stall = False  # the end of a stall would resume the process
             process.send_signal(signal.SIGSTOP)
         if self.deliberate_breach.crashes_process:
             await asyncio.sleep(CRASH_DELAY_S)
             process.send_signal(signal.SIGSEGV)
 
     async def _run_events(self) -> None:
-        self.run_records.lags.clear()  # what it was late by while all started at once judges nothing
+        # Delays while all processes start at once do not widen the limits of the checks.
+        self.run_records.lags.clear()
         started_at = time.monotonic()
         ends_at = started_at + self.plan.seconds
         for event in self.plan.events:
@@ -157,7 +158,7 @@
         clients = Clients(
             self.plan.client_profile,
             await self._client_addresses(),
-            lambda number: self.balancers[number].is_in_service(),
+            lambda index: self.balancers[index].is_in_service(),
             self.run_records,
             Random(f"soak clients/{self.plan.seed}"),
         )
@@ -212,11 +213,11 @@
 
     async def _watch_lag(self) -> None:
         while True:
-            before = time.monotonic()
+            sleep_started_at = time.monotonic()
             await asyncio.sleep(LAG_SAMPLE_INTERVAL_S)
             now = time.monotonic()
-            if now - before - LAG_SAMPLE_INTERVAL_S > MIN_RECORDED_LAG_S:
-                self.run_records.lags.append(Lag(now, now - before - LAG_SAMPLE_INTERVAL_S))
+            if now - sleep_started_at - LAG_SAMPLE_INTERVAL_S > MIN_RECORDED_LAG_S:
+                self.run_records.lags.append(Lag(now, now - sleep_started_at - LAG_SAMPLE_INTERVAL_S))
 
     def _build_result(self) -> SoakResult:
         breaches = RuleChecker(self.run_records, self.plan.limits, proxied=bool(self.proxies)).find_breaches()
@@ -234,7 +235,7 @@
 
 
 def run_seed(seed: int, seconds: float, folder: Path, broken_rule: Rule | None = None) -> SoakResult:
-    """Play the run of one seed in this process, with a planted breach of one rule or of none."""
+    """Run the plan of one seed in this process, breaking `broken_rule` deliberately if it is not None."""
     folder.mkdir(parents=True, exist_ok=True)
     deliberate_breach = DELIBERATE_BREACHES[broken_rule] if broken_rule is not None else NO_DELIBERATE_BREACH
     soak_run = SoakRun(draw_plan(seed, seconds), folder, build_shim(), deliberate_breach)
--- a/emulator/soak/servers.py
+++ b/emulator/soak/servers.py
@@ -1,4 +1,7 @@
-"""Stand-in photo servers of a soak: raw sockets, so that they can hang, reset, answer twice or cut an end."""
+"""Stand-in photo servers of a soak run.
+
+They write raw HTTP to streams, so that they can hang, reset a connection, respond twice or omit the length.
+"""
 
 from __future__ import annotations
 
@@ -12,14 +15,14 @@
 from emulator.soak.connections import CONNECTION_ERRORS_OR_CANCELLED
 from emulator.soak.records import AttemptOutcome, AttemptRecord, RunRecords, ServerRecord
 
-HANG_DURATION_S = 30.0
-SECOND_RESPONSE_DELAY_S = 0.002  # after the first
-MAX_SECOND_RESPONSE_DELAY_S = 0.004
+HANG_DURATION_S = 30.0  # longer than any client timeout
+SECOND_RESPONSE_DELAY_S = 0.002  # after the first response
+MAX_SECOND_RESPONSE_DELAY_S = 0.004  # a later second response is not sent
 SLOW_FACTOR = 6.0
 
 
 class ServerMode(enum.Enum):
-    """How a server treats what it is sent."""
+    """How a server treats requests."""
 
     NORMAL = "sound"
     HANGING = "hanging"
@@ -31,7 +34,7 @@
 
 
 class Server:
-    """One server process; what it is sent is recorded, whatever it does with it."""
+    """A server process that records every request it receives."""
 
     def __init__(
         self,
@@ -44,8 +47,8 @@
     ) -> None:
         self.name = name
         self.mean_work_s = mean_work_s
-        self.warm_requests_per_s = warm_requests_per_s  # that it is good for when warm
-        self.network_faults = network_faults  # on the way to it, and on the way back
+        self.warm_requests_per_s = warm_requests_per_s  # its capacity
+        self.network_faults = network_faults  # of requests, of responses
         self.run_records = run_records
         self.random = random
         self.mode = ServerMode.NORMAL
@@ -57,7 +60,7 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self, cold: bool) -> None:
-        """Listen; a cold server has started just now."""
+        """Start listening. A cold server has just started, any other started long ago."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = self._server.sockets[0].getsockname()[:2]
         if self.network_faults != (NO_STREAM_FAULTS, NO_STREAM_FAULTS):
@@ -69,7 +72,7 @@
         self.run_records.servers[self.name] = record
 
     def stop(self) -> None:
-        """End as a process that dies: connections are reset, new ones refused."""
+        """Stop like a killed process: open connections are reset and new ones refused."""
         if self._proxy is not None:
             self._proxy.stop()
         if self._server is not None:
@@ -92,7 +95,7 @@
         return await self._respond(attempt, reader, writer)
 
     async def _read_request(self, first_byte: bytes, reader: asyncio.StreamReader) -> AttemptRecord:
-        """Record the request that begins with this byte."""
+        """Read and record the request that starts with this byte."""
         first_byte_at = time.monotonic()
         head = (first_byte + await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
         headers = {key.lower(): value.strip() for key, _, value in (line.partition(":") for line in head[1:])}
@@ -134,15 +137,19 @@
         return True
 
     async def _respond_again(self, response: bytes, writer: asyncio.StreamWriter) -> None:
-        """A second answer, some milliseconds late at the most: a later one no balancer could tell."""
+        """Respond a second time, within a few milliseconds.
+
+        A balancer cannot recognize a later second response: by then it may have sent another request on
+        the connection.
+        """
         first_response_at = time.monotonic()
-        if self._proxy is None:  # which could be late with it
+        if self._proxy is None:  # the proxy could delay the second response further
             await asyncio.sleep(SECOND_RESPONSE_DELAY_S)
         if time.monotonic() - first_response_at < MAX_SECOND_RESPONSE_DELAY_S:
             writer.write(response)
 
     async def _work(self, mode: ServerMode, reader: asyncio.StreamReader) -> bool:
-        """Take the request's time; False if the balancer gave it up meanwhile."""
+        """Work on a request; return False if the balancer cancels it meanwhile."""
         work_s = self.mean_work_s * self.random.uniform(0.3, 1.7)
         if mode is ServerMode.HANGING:
             work_s = HANG_DURATION_S
@@ -150,9 +157,8 @@
             work_s *= SLOW_FACTOR
         try:
             async with asyncio.timeout(work_s):
-                if unexpected_byte := await reader.read(
-                    1
-                ):  # behind a request there is nothing before its answer
+                # A balancer sends nothing more before it has the response: more bytes are another request.
+                if unexpected_byte := await reader.read(1):
                     await self._read_request(unexpected_byte, reader)
         except TimeoutError:
             return True
