--- a/emulator/soak/balancers.py
+++ b/emulator/soak/balancers.py
@@ -23,7 +23,7 @@
 
 READY_POLL_INTERVAL_S = 0.02
 DEREGISTRATION_DELAY_S = 0.3  # after SIGTERM the front load balancer still assigns new connections this long
-MIN_STALL_INTERVAL_S = 1.0  # balancers have to cope with single stalls only
+MIN_STALL_INTERVAL_S = 1.0  # balancers have to cope with one stall at a time only
 RESTART_PAUSE_S = 0.3  # from the exit of a process to the start of the next one
 
 
@@ -51,7 +51,7 @@
         self.process: asyncio.subprocess.Process | None = None
         self.record: ProcessRecord | None = None
         self.last_stalled_at = -math.inf
-        self.may_stall = True
+        self.may_stall = True  # False: a stall would resume a process that is suspended deliberately
 
     @property
     def config_path(self) -> Path:
--- a/emulator/soak/plan.py
+++ b/emulator/soak/plan.py
@@ -189,7 +189,7 @@
         client_network_faults=StreamFaults(split_share=random.choice([0.0, 0.1])),
         server_response_faults=tuple(_draw_response_faults(random) for _ in range(server_count)),
         process_faults=tuple(
-            _draw_process_faults(random, seed * 1000 + number) for number in range(balancer_count)
+            _draw_process_faults(random, seed * 1000 + index) for index in range(balancer_count)
         ),
     )
 
--- a/emulator/soak/records.py
+++ b/emulator/soak/records.py
@@ -41,7 +41,7 @@
     ended_at: float | None = None  # last byte of the response, or the connection ended
     status: int | None = None  # None: no complete response was received
     body: bytes = b""  # of the response
-    response_bytes: int = 0  # received, also of an incomplete response
+    response_bytes: int = 0  # 0: nothing was received; otherwise 1 plus the length of a complete body
     retry_id: str | None = None  # the id under which the client sent the request again
 
     def closed_at(self) -> float | None:
@@ -108,10 +108,10 @@
 class RunRecords:
     """All records of a run."""
 
-    requests: dict[str, RequestRecord] = field(default_factory=dict)
-    attempts: list[AttemptRecord] = field(default_factory=list)
+    requests: dict[str, RequestRecord] = field(default_factory=dict)  # by id
+    attempts: list[AttemptRecord] = field(default_factory=list)  # in the order of their last bytes
     processes: list[ProcessRecord] = field(default_factory=list)
-    servers: dict[str, ServerRecord] = field(default_factory=dict)
+    servers: dict[str, ServerRecord] = field(default_factory=dict)  # by name
     drains: list[DrainRecord] = field(default_factory=list)
     lags: list[Lag] = field(default_factory=list)
     clients_stopped_at: float = 0.0  # the clients have sent their last requests and stopped waiting
