--- a/emulator/fleet/managed_child.py
+++ b/emulator/fleet/managed_child.py
@@ -1,4 +1,4 @@
-"""One Python child of the supervisor: its start, its lines and its end."""
+"""One Python child process of the supervisor: start, configuration, measures and stop."""
 
 from __future__ import annotations
 
@@ -14,43 +14,41 @@
 from emulator.fleet.process_logs import ProcessLog
 
 
-MAX_LINE_BYTES = 16 * 1024 * 1024  # bytes of one line of measures
-STOP_TIMEOUT_S = 5.0  # from the end of its input until it is killed
+MAX_LINE_BYTES = 16 * 1024 * 1024  # of one line of measures
+STOP_TIMEOUT_S = 5.0  # from closing its standard input until it is killed
 
-LineReceived = Callable[["ManagedChild", bytes], None]
+OnLine = Callable[["ManagedChild", bytes], None]
 
 
 class ManagedChild:
-    """A process that follows the contract's life: configuration, Ready, Start, measures, end of input."""
+    """A process that follows `contract`: configuration, Ready, Start, measures, end of standard input."""
 
-    def __init__(
-        self, role: str, module: str, config: ProcessConfig, folder: Path, received: LineReceived
-    ) -> None:
+    def __init__(self, role: str, module: str, config: ProcessConfig, folder: Path, on_line: OnLine) -> None:
         self.role = role
         self.index = config.index
         self.log = ProcessLog(folder / f"{role}-{config.index}.log")
         self.is_ready = False
-        self.is_stopping = False  # its end is wanted
+        self.is_stopping = False  # the supervisor is stopping it
         self.process: asyncio.subprocess.Process | None = None
         self._module = module
         self._config = config
-        self._received = received
-        self._reading: asyncio.Task[None] | None = None
+        self._on_line = on_line
+        self._read_task: asyncio.Task[None] | None = None
 
     @property
     def name(self) -> str:
-        """For people."""
+        """Name for messages."""
         return f"{self.role} {self.index}"
 
     @property
     def pid(self) -> int | None:
-        """Of the running process."""
+        """Process id; None while it is not running."""
         if self.process is None or self.process.returncode is not None:
             return None
         return self.process.pid
 
     async def start(self) -> None:
-        """Start the process; it waits for its configuration."""
+        """Start the process, which then waits for its configuration."""
         with self.log.open() as log_file:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -65,11 +63,11 @@
             )
 
     def configure(self) -> None:
-        """Give it its configuration: everything that it connects to is ready."""
-        self._write(self._config)
+        """Send the configuration, once everything that the process connects to is ready."""
+        self._send(self._config)
 
     async def wait_ready(self) -> None:
-        """Wait for `Ready`; EOFError if the process ends before."""
+        """Wait for `Ready`; raises EOFError if the process ends before."""
         assert self.process is not None and self.process.stdout is not None
         line = await self.process.stdout.readline()
         if not line:
@@ -78,12 +76,12 @@
         self.is_ready = True
 
     def send_start(self, start: Start) -> None:
-        """Tell the scenario's time 0, and take in measures from now on."""
-        self._write(start)
-        self._reading = asyncio.create_task(self._read())
+        """Send the time of the scenario's start, and start to read measures."""
+        self._send(start)
+        self._read_task = asyncio.create_task(self._read_lines())
 
     async def stop(self) -> None:
-        """End its input, wait for its last lines, kill it if it stays."""
+        """Close its standard input, read its last lines, and kill it after STOP_TIMEOUT_S."""
         self.is_stopping = True
         if self.process is None:
             return
@@ -91,19 +89,19 @@
             self.process.stdin.close()
         try:
             async with asyncio.timeout(STOP_TIMEOUT_S):
-                if self._reading is not None:
-                    await self._reading
+                if self._read_task is not None:
+                    await self._read_task
                 await self.process.wait()
         except TimeoutError:
             if self.process.returncode is None:
                 self.process.kill()
             await self.process.wait()
 
-    def _write(self, message: msgspec.Struct) -> None:
+    def _send(self, message: msgspec.Struct) -> None:
         assert self.process is not None and self.process.stdin is not None
         self.process.stdin.write(msgspec.json.encode(message) + b"\n")
 
-    async def _read(self) -> None:
+    async def _read_lines(self) -> None:
         assert self.process is not None and self.process.stdout is not None
         while line := await self.process.stdout.readline():
-            self._received(self, line)
+            self._on_line(self, line)
--- a/emulator/fleet/process.py
+++ b/emulator/fleet/process.py
@@ -1,7 +1,7 @@
-"""What every child process of a fleet run does alike: configuration, start signal, measures and its end.
+"""What all child processes of a fleet run share: configuration, start, events, measures and shutdown.
 
-A child reads its `ProcessConfig`, listens, says `Ready`, waits for `Start`, and ends when its standard input
-ends. Its measures are JSON lines on standard output; its log goes to standard error.
+A child reads its `ProcessConfig`, listens, prints `Ready`, waits for `Start`, and stops when its standard
+input is closed. Its measures are JSON lines on standard output; its log goes to standard error.
 """
 
 from __future__ import annotations
@@ -25,8 +25,9 @@
 from emulator.fleet.timeline import Event, build_timeline
 
 MEASURE_PERIOD_S = 1.0
-COLLECTION_THRESHOLDS = (50_000, 20, 100)  # rare: hardly anything here is in a cycle
-MAX_LINE = 1 << 20  # bytes of one line on standard input
+# Garbage collections may be rare, as hardly any object here is in a reference cycle.
+GC_THRESHOLDS = (50_000, 20, 100)
+MAX_LINE_BYTES = 1 << 20  # on standard input
 
 
 Message = TypeVar("Message", bound=msgspec.Struct)
@@ -34,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetContext:
-    """What a child works out for itself from its configuration."""
+    """The fleet as a child builds it from its configuration."""
 
     config: ProcessConfig
     scenario: Scenario
@@ -43,18 +44,18 @@
 
 
 def load_fleet_context(config: ProcessConfig) -> FleetContext:
-    """Build the fleet that a configuration describes; BadInputError if its scenario cannot be used."""
+    """Build the fleet of a configuration; raises BadInputError if its scenario is invalid."""
     scenario = load_scenario(config.scenario)
     layout = build_layout(scenario, config.seed)
     return FleetContext(config, scenario, layout, build_timeline(scenario, config.seed))
 
 
 class ScenarioClock:
-    """Seconds since the scenario's start, on the machine's monotonic clock."""
+    """Time in seconds since the scenario's start, from the machine's monotonic clock."""
 
     def __init__(self, start_ns: int) -> None:
         self._start_ns = start_ns
-        # Taken once: the same moment has to be the same Unix time whenever it is told.
+        # Computed once, so that the same time of the scenario always gives the same Unix time.
         self._unix_start_ns = time.time_ns() + start_ns - time.monotonic_ns()
 
     def now_s(self) -> float:
@@ -62,37 +63,37 @@
         return (time.monotonic_ns() - self._start_ns) / 1e9
 
     def unix_ms(self, at_s: float) -> int:
-        """The Unix time of a moment of the scenario, in milliseconds."""
+        """Unix time, in milliseconds, of a time of the scenario."""
         return int(self._unix_start_ns / 1e6 + at_s * 1e3)
 
 
 class ChildRole(Protocol):
-    """What one kind of child does between its start and its end."""
+    """The behaviour of one role of child processes."""
 
     async def listen(self) -> None:
-        """Open everything that others connect to."""
+        """Open all listening sockets, and all connections that are needed before the start."""
 
     def start(self, clock: ScenarioClock) -> None:
-        """Begin to act: the scenario's time 0 is known."""
+        """Start; the time of the scenario's start is known now."""
 
     def apply(self, event: Event) -> None:
-        """Take note of one event of the timeline, at its time."""
+        """Apply one event of the timeline, at its time."""
 
     def measure(self, at_s: float) -> None:
-        """Report what happened since the last call."""
+        """Print the measures since the last call."""
 
     def finish(self) -> None:
-        """Report what happened over the whole run, and stop."""
+        """Print the measures of the whole run, and stop."""
 
 
 def print_message(message: msgspec.Struct) -> None:
-    """Write one JSON line to standard output."""
+    """Print a message as one JSON line on standard output."""
     sys.stdout.buffer.write(msgspec.json.encode(message) + b"\n")
     sys.stdout.buffer.flush()
 
 
 class TimelinePlayer:
-    """Tells each event of a timeline at its time."""
+    """Applies each event of a timeline at its time."""
 
     def __init__(
         self,
@@ -105,25 +106,25 @@
         self._clock = clock
         self._timeline = timeline
         self._apply = apply
-        self._next = 0
+        self._next_event = 0
 
     def play(self) -> None:
-        """Tell what is due and set a timer for the next event."""
+        """Apply the events that are due and set a timer for the next one."""
         now_s = self._clock.now_s()
-        while self._next < len(self._timeline) and self._timeline[self._next].at_s <= now_s:
-            self._next += 1
-            self._apply(self._timeline[self._next - 1])
-        if self._next < len(self._timeline):
-            self._loop.call_later(max(0.0, self._timeline[self._next].at_s - now_s), self.play)
+        while self._next_event < len(self._timeline) and self._timeline[self._next_event].at_s <= now_s:
+            self._next_event += 1
+            self._apply(self._timeline[self._next_event - 1])
+        if self._next_event < len(self._timeline):
+            self._loop.call_later(max(0.0, self._timeline[self._next_event].at_s - now_s), self.play)
 
 
-class _Measurer:
-    """Asks for measures once a second of the scenario."""
+class _MeasureTimer:
+    """Asks the role for its measures once a second of the scenario."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, clock: ScenarioClock, part: ChildRole) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, clock: ScenarioClock, child: ChildRole) -> None:
         self._loop = loop
         self._clock = clock
-        self._part = part
+        self._child = child
         self._due_s = MEASURE_PERIOD_S
         self._timer: asyncio.TimerHandle | None = None
 
@@ -135,61 +136,64 @@
         self._timer = self._loop.call_later(max(0.0, self._due_s - self._clock.now_s()), self._measure)
 
     def _measure(self) -> None:
-        self._part.measure(self._due_s)
+        self._child.measure(self._due_s)
         self._due_s += MEASURE_PERIOD_S
         self.schedule()
 
 
-def run_child(role: str, build: Callable[[FleetContext], ChildRole]) -> int:
-    """Run one child process to its end; returns its exit code."""
+def run_child(role: str, build_role: Callable[[FleetContext], ChildRole]) -> int:
+    """Run one child process until it stops; returns its exit code."""
     structlog.configure(logger_factory=structlog.PrintLoggerFactory(sys.stderr))
     try:
-        uvloop.run(_run(role, build))
+        uvloop.run(_run(role, build_role))
     except BadInputError as error:
         print(f"{role}: {error.message}", file=sys.stderr)
         return EXIT_BAD_INPUT
     return 0
 
 
-async def _run(role: str, build: Callable[[FleetContext], ChildRole]) -> None:
+async def _run(role: str, build_role: Callable[[FleetContext], ChildRole]) -> None:
     loop = asyncio.get_running_loop()
-    lines = await _standard_input(loop)
-    config = await _read(lines, ProcessConfig)
+    lines = await _open_standard_input(loop)
+    config = await _read_message(lines, ProcessConfig)
     if config is None:
         return
     fleet = load_fleet_context(config)
-    part = build(fleet)
-    await part.listen()
+    child = build_role(fleet)
+    await child.listen()
     gc.collect()
-    gc.freeze()  # what lives as long as the process is not walked again by each collection
-    gc.set_threshold(*COLLECTION_THRESHOLDS)
+    gc.freeze()  # keeps long-lived objects out of later garbage collections
+    gc.set_threshold(*GC_THRESHOLDS)
     print_message(Ready(role, config.index))
-    start = await _read(lines, Start)
+    start = await _read_message(lines, Start)
     if start is None:
         return
     clock = ScenarioClock(start.monotonic_ns)
-    part.start(clock)
-    TimelinePlayer(loop, clock, fleet.timeline, part.apply).play()
-    measurer = _Measurer(loop, clock, part)
-    measurer.schedule()
+    child.start(clock)
+    TimelinePlayer(loop, clock, fleet.timeline, child.apply).play()
+    measure_timer = _MeasureTimer(loop, clock, child)
+    measure_timer.schedule()
     while await lines.readline():
-        pass  # nothing more is said; its end is the signal
-    measurer.stop()
-    part.finish()
+        pass  # no further messages are expected; the end of the input is the signal to stop
+    measure_timer.stop()
+    child.finish()
 
 
-async def _standard_input(loop: asyncio.AbstractEventLoop) -> asyncio.StreamReader:
-    reader = asyncio.StreamReader(limit=MAX_LINE)
+async def _open_standard_input(loop: asyncio.AbstractEventLoop) -> asyncio.StreamReader:
+    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     return reader
 
 
-async def _read(lines: asyncio.StreamReader, kind: type[Message]) -> Message | None:
-    """The next line as a message; None if the input has ended; BadInputError if it is something else."""
+async def _read_message(lines: asyncio.StreamReader, kind: type[Message]) -> Message | None:
+    """The next line as a message of that kind; None at the end of the input.
+
+    Raises BadInputError if the line is not such a message.
+    """
     line = await lines.readline()
     if not line:
         return None
     try:
         return msgspec.json.decode(line, type=kind)
     except msgspec.DecodeError as error:
-        raise BadInputError(f"standard input: no {kind.__name__}: {error}") from None
+        raise BadInputError(f"standard input: not a valid {kind.__name__}: {error}") from None
--- a/emulator/fleet/real_balancers.py
+++ b/emulator/fleet/real_balancers.py
@@ -1,4 +1,4 @@
-"""Real balancer processes of a run: configuration, start, readiness, kill, planned restart and end."""
+"""Real balancer processes of a run: configuration, start, readiness, restart and stop."""
 
 from __future__ import annotations
 
@@ -21,24 +21,27 @@
 
 ROLE = "balancer"
 READY_TIMEOUT_S = 60.0
-READY_POLL_INTERVAL_S = 0.05  # between two looks whether one is ready
+READY_POLL_INTERVAL_S = 0.05  # between two requests for /ready
 STOP_TIMEOUT_S = 10.0
-PR_SET_PDEATHSIG = 1  # of prctl(2)
+PR_SET_PDEATHSIG = 1  # option of prctl(2)
 
 _libc = ctypes.CDLL(None, use_errno=True)
 
 
 class NotReadyError(Exception):
-    """A balancer did not become ready in time, or ended before."""
+    """A balancer was not ready within the timeout, or ended before."""
 
 
-def _die_with_parent() -> None:
-    """In the child, before it runs: it has no input whose end it would notice."""
+def _set_parent_death_signal() -> None:
+    """Have the kernel kill the balancer when the supervisor dies; runs in the child before exec.
+
+    The balancer does not read a standard input whose end would stop it.
+    """
     _libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 async def is_ready(address: Address) -> bool:
-    """Whether `GET /ready` is answered with 200."""
+    """Whether the balancer responds to `GET /ready` with status 200."""
     try:
         reader, writer = await asyncio.open_connection(address.host, address.port)
     except OSError:
@@ -53,7 +56,7 @@
 
 
 class RealBalancer:
-    """One balancer under its name and address, over all its restarts."""
+    """One real balancer over all its restarts, which keep its name and address."""
 
     def __init__(
         self, number: int, addresses: AddressPlan, config: Callable[[str], dict[str, Any]], folder: Path
@@ -62,20 +65,20 @@
         self.address = addresses.balancer_address(number)
         self.log = ProcessLog(folder / f"{ROLE}-{number}.log")
         self.process: asyncio.subprocess.Process | None = None
-        self.is_stopping = False  # its end is wanted
+        self.is_stopping = False  # the supervisor or an event is stopping it
         self._agent = addresses.agent_address(number)
         self._config = config
         self._config_path = folder / f"{ROLE}-{number}.json"
 
     @property
     def pid(self) -> int | None:
-        """Of the running process."""
+        """Process id; None while it is not running."""
         if self.process is None or self.process.returncode is not None:
             return None
         return self.process.pid
 
     async def start(self, random: Random) -> None:
-        """Start a new process from nothing."""
+        """Start a new process, with a new seed."""
         config = self._config(f"{random.getrandbits(64):016x}")
         self._config_path.write_text(json.dumps(config), encoding="utf-8")
         environment = {
@@ -91,11 +94,11 @@
                 stdout=log_file,
                 stderr=log_file,
                 start_new_session=True,
-                preexec_fn=_die_with_parent,
+                preexec_fn=_set_parent_death_signal,
             )
 
     async def wait_ready(self) -> None:
-        """Return once it is ready; NotReadyError if it ends or takes too long."""
+        """Wait until it is ready; raises NotReadyError if it ends, or after READY_TIMEOUT_S."""
         try:
             async with asyncio.timeout(READY_TIMEOUT_S):
                 while not await is_ready(self.address):
@@ -107,13 +110,13 @@
             raise NotReadyError(message) from None
 
     def stop(self, *, graceful: bool) -> None:
-        """SIGTERM or SIGKILL."""
+        """Send SIGTERM if graceful, else SIGKILL."""
         self.is_stopping = True
         if self.process is not None and self.pid is not None:
             self.process.send_signal(signal.SIGTERM if graceful else signal.SIGKILL)
 
     async def wait_stopped(self) -> None:
-        """Wait until the process has ended; it is killed if it takes too long."""
+        """Wait until the process has ended; it is killed after STOP_TIMEOUT_S."""
         if self.process is None:
             return
         try:
@@ -127,7 +130,7 @@
 def build_real_balancers(
     scenario: Scenario, layout: Layout, addresses: AddressPlan, folder: Path
 ) -> list[RealBalancer]:
-    """The real balancers of a scenario, not yet started; numbers 0 to real - 1."""
+    """The real balancers of a scenario, with the numbers 0 to real - 1; none is started."""
     return [
         RealBalancer(
             number, addresses, partial(build_node_config, scenario, layout, addresses, number), folder
--- a/emulator/fleet/run_record.py
+++ b/emulator/fleet/run_record.py
@@ -1,4 +1,4 @@
-"""Everything that a run has shown, as it is collected: typed measures in memory and lines on disk."""
+"""The record of a run while it is collected: measures in memory and as lines in files."""
 
 from __future__ import annotations
 
@@ -19,7 +19,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FailedProcess:
-    """A process that ended though nobody wanted it to."""
+    """A process that ended unexpectedly or did not become ready.
+
+    For a failure without an exit code, `name` is the whole message.
+    """
 
     name: str
     exit_code: int | None
@@ -28,13 +31,13 @@
 
 @dataclass(slots=True)
 class RunRecord:
-    """One run."""
+    """One run: its scenario, its seed, its folder and what was measured."""
 
     scenario: Scenario
     seed: int
     folder: Path
-    elapsed_s: float = 0.0  # of the scenario
-    starting_s: float = 0.0  # until all were ready
+    elapsed_s: float = 0.0  # time of the scenario
+    starting_s: float = 0.0  # until all processes were ready
     interrupted: bool = False
     failed_processes: list[FailedProcess] = field(default_factory=list)
     real_ready_ms: list[float] = field(default_factory=list)  # restarts of real balancers
@@ -44,7 +47,7 @@
     stand_in_measures: dict[str, list[dict[str, Any]]] = field(default_factory=dict)  # by role
 
     def add(self, measure: TypedMeasure) -> None:
-        """Take in one of this half's measures."""
+        """Add one measure."""
         match measure:
             case HollowMeasure():
                 self.hollow.append(measure)
@@ -54,7 +57,7 @@
                 self.processes.append(measure)
 
     def played_events(self) -> list[Event]:
-        """The timeline as far as it has been played."""
+        """The events of the timeline up to the elapsed time."""
         return [
             event
             for event in build_timeline(self.scenario, self.seed)
@@ -62,13 +65,13 @@
         ]
 
     def write_events(self) -> None:
-        """Write the events as JSON lines; nothing in them depends on the run itself."""
+        """Write the events as JSON lines; they depend on the scenario, the seed and the elapsed time only."""
         with (self.folder / EVENTS_FILE).open("wb") as file:
             file.writelines(msgspec.json.encode(event) + b"\n" for event in self.played_events())
 
 
 class MeasureLog:
-    """Appends each measure to the run's file as it comes and keeps it in the record."""
+    """Adds each measure to the record, and to the run's file of measures."""
 
     def __init__(self, record: RunRecord) -> None:
         self._record = record
@@ -76,7 +79,7 @@
         self._decoder: msgspec.json.Decoder[TypedMeasure] = msgspec.json.Decoder(TypedMeasure)
 
     def add_line(self, role: str, index: int, line: bytes) -> None:
-        """A line that a child has printed; those of the stand-ins get the child's role and index."""
+        """Add a line that a child has printed; lines of the stand-ins get the child's role and index."""
         if role in ("hollow", "clients"):
             self._record.add(self._decoder.decode(line))
             self._file.write(line)
@@ -86,10 +89,10 @@
         self._file.write(msgspec.json.encode(values) + b"\n")
 
     def add(self, measure: ProcessMeasure) -> None:
-        """A measure of the supervisor's own."""
+        """Add a measure of the supervisor."""
         self._record.add(measure)
         self._file.write(msgspec.json.encode(measure) + b"\n")
 
     def close(self) -> None:
-        """Write out what is buffered."""
+        """Flush and close the file."""
         self._file.close()
--- a/emulator/fleet/supervisor.py
+++ b/emulator/fleet/supervisor.py
@@ -1,4 +1,4 @@
-"""Starts the processes of a run, plays the real balancers' part of the timeline, and ends all it started."""
+"""Starts the processes of a run, applies the events of real balancers, and stops all processes."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 from emulator.fleet.timeline import BalancersStarted, BalancersStopped, Event, build_timeline
 from emulator.free_ports import find_free_ports
 
-SHARD_COUNT = 2
-START_DELAY_S = 0.5  # from the last `Ready` to the scenario's time 0
-START_TIMEOUT_S = 240.0  # until all are ready
-FAILURE_POLL_INTERVAL_S = 0.1  # between two looks whether a child has died
+SHARD_COUNT = 2  # processes that share the photo servers
+START_DELAY_S = 0.5  # from the last `Ready` to the scenario's start
+START_TIMEOUT_S = 240.0  # until all processes are ready
+FAILURE_POLL_INTERVAL_S = 0.1  # between two checks for processes that died
 MEASURE_INTERVAL_S = 1.0
 
 Progress = Callable[[str, float], None]  # phase, seconds of the scenario
 
 
-def _choose_addresses(shards: int) -> AddressPlan:
+def _choose_ports(shards: int) -> AddressPlan:
     server, agent, balancer, *shard_ports = find_free_ports(3 + shards)
     return AddressPlan(server, agent, balancer, tuple(shard_ports))
 
 
 class Supervisor:
-    """One run, from the first process to the end of the last."""
+    """Supervises one run, from the start of the first process to the end of the last one."""
 
     def __init__(self, path: Path, scenario: Scenario, record: RunRecord, progress: Progress) -> None:
         self.scenario = scenario
@@ -46,10 +46,10 @@
         self._logs.mkdir()
         self._measures = MeasureLog(record)
         self._random = Random(f"{record.seed}/starts of real balancers")
-        self._stop = asyncio.Event()
+        self._stop_event = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
         self._path = path.resolve()
-        self._addresses = _choose_addresses(SHARD_COUNT)
+        self._addresses = _choose_ports(SHARD_COUNT)
         layout = build_layout(scenario, record.seed)
         self._balancers = build_real_balancers(scenario, layout, self._addresses, self._logs)
         self._children: list[ManagedChild] = []
@@ -57,44 +57,44 @@
         self._pid_getters: list[Callable[[], int | None]] = [os.getpid]
 
     async def run(self) -> None:
-        """Run the scenario; whatever happens, everything that was started is ended."""
+        """Run the scenario; all processes are stopped even after an error or an interruption."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGINT, signal.SIGTERM):
             loop.add_signal_handler(number, self._interrupt)
-        started = time.monotonic()
+        started_at = time.monotonic()
         try:
             if await self._start_all():
-                self.record.starting_s = time.monotonic() - started
-                await self._play()
+                self.record.starting_s = time.monotonic() - started_at
+                await self._run_scenario()
         finally:
-            await self._end_all()
+            await self._stop_all()
             self._measures.close()
             for number in (signal.SIGINT, signal.SIGTERM):
                 loop.remove_signal_handler(number)
 
     def _interrupt(self) -> None:
         self.record.interrupted = True
-        self._stop.set()
+        self._stop_event.set()
 
     # ---- start ----
 
     async def _start_all(self) -> bool:
-        """Start in the order of who connects to whom; False if the run ended meanwhile."""
-        watch = asyncio.create_task(self._watch_children())
+        """Start all processes; False if the run was interrupted or a process failed meanwhile."""
+        watch = asyncio.create_task(self._watch_for_failures())
         starting = asyncio.create_task(self._start_in_order())
-        stopped = asyncio.create_task(self._stop.wait())
+        stopped = asyncio.create_task(self._stop_event.wait())
         done, _ = await asyncio.wait(
             {starting, stopped}, timeout=START_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED
         )
         stopped.cancel()
-        if starting in done and not self._stop.is_set():
+        if starting in done and not self._stop_event.is_set():
             self._tasks.add(watch)
             try:
                 starting.result()
             except (NotReadyError, EOFError, OSError) as error:
-                # A child that has died is named by its own exit code.
+                # Lets the exit code of a child that died become known, so that it is reported by name.
                 await asyncio.sleep(FAILURE_POLL_INTERVAL_S)
-                self._note_deaths()
+                self._record_failures()
                 if not self.record.failed_processes:
                     self.record.failed_processes.append(FailedProcess(str(error), None, ()))
                 return False
@@ -110,34 +110,38 @@
         return False
 
     async def _start_in_order(self) -> None:
-        """Processes load side by side, and are configured in the order of who connects to whom."""
-        stand_ins = [self._child("discovery", "emulator.fleet.discovery", 0, 1)]
+        """Start the Python processes side by side, and configure each role after those that it connects to.
+
+        The real balancers start once the stand-ins and the hollow balancers are ready.
+        """
+        stand_ins = [self._create_child("discovery", "emulator.fleet.discovery", 0, 1)]
         stand_ins += [
-            self._child("photo_servers", "emulator.fleet.photo_server_process", index, SHARD_COUNT)
+            self._create_child("photo_servers", "emulator.fleet.photo_server_process", index, SHARD_COUNT)
             for index in range(SHARD_COUNT)
         ]
         workers = self._count_workers()
         hollow = [
-            self._child("hollow", "emulator.fleet.hollow_worker", index, workers) for index in range(workers)
+            self._create_child("hollow", "emulator.fleet.hollow_worker", index, workers)
+            for index in range(workers)
         ]
-        clients = [self._child("clients", "emulator.fleet.clients", 0, 1)] if self._balancers else []
+        clients = [self._create_child("clients", "emulator.fleet.clients", 0, 1)] if self._balancers else []
         for child in self._children:
             await child.start()
-        await self._make_ready("starting the stand-ins", stand_ins)
-        await self._make_ready("starting the hollow balancers", hollow)
+        await self._configure_and_wait("starting the stand-ins", stand_ins)
+        await self._configure_and_wait("starting the hollow balancers", hollow)
         self._progress("starting the real balancers", 0.0)
         for balancer in self._balancers:
-            self._follow(BALANCER_ROLE, balancer)
+            self._monitor(BALANCER_ROLE, balancer)
             await balancer.start(self._random)
         for balancer in self._balancers:
             await balancer.wait_ready()
-        await self._make_ready("starting the clients", clients)
+        await self._configure_and_wait("starting the clients", clients)
 
     def _count_workers(self) -> int:
         all_real = self.scenario.balancers.total == self.scenario.balancers.real
         return 0 if all_real else self.scenario.balancers.hollow_workers
 
-    def _child(self, role: str, module: str, index: int, processes: int) -> ManagedChild:
+    def _create_child(self, role: str, module: str, index: int, processes: int) -> ManagedChild:
         config = ProcessConfig(
             scenario=str(self._path),
             seed=self.record.seed,
@@ -145,64 +149,64 @@
             processes=processes,
             addresses=self._addresses,
         )
-        child = ManagedChild(role, module, config, self._logs, self._line_came)
+        child = ManagedChild(role, module, config, self._logs, self._on_line)
         self._children.append(child)
-        self._follow(role, child)
+        self._monitor(role, child)
         return child
 
-    def _follow(self, role: str, member: ManagedChild | RealBalancer) -> None:
+    def _monitor(self, role: str, member: ManagedChild | RealBalancer) -> None:
         index = member.index if isinstance(member, ManagedChild) else member.number
         self._monitors.append(ProcessMonitor(role, index, member.log))
         self._pid_getters.append(lambda: member.pid)
 
-    async def _make_ready(self, phase: str, children: list[ManagedChild]) -> None:
+    async def _configure_and_wait(self, phase: str, children: list[ManagedChild]) -> None:
         self._progress(phase, 0.0)
         for child in children:
             child.configure()
         for child in children:
             await child.wait_ready()
 
-    def _line_came(self, child: ManagedChild, line: bytes) -> None:
+    def _on_line(self, child: ManagedChild, line: bytes) -> None:
         self._measures.add_line(child.role, child.index, line)
 
     # ---- run ----
 
-    async def _play(self) -> None:
+    async def _run_scenario(self) -> None:
         start = Start(time.monotonic_ns() + int(START_DELAY_S * 1e9))
         for child in self._children:
             child.send_start(start)
         timeline = build_timeline(self.scenario, self.record.seed)
-        self._run_task(self._play_events(start, timeline))
+        self._run_task(self._apply_events(start, timeline))
         end_s, next_s = self.scenario.duration_s, MEASURE_INTERVAL_S
-        while not self._stop.is_set() and self.record.elapsed_s < end_s:
-            wait_s = min(next_s, end_s) - _since(start)
+        while not self._stop_event.is_set() and self.record.elapsed_s < end_s:
+            wait_s = min(next_s, end_s) - _elapsed_s(start)
             try:
                 async with asyncio.timeout(max(0.0, wait_s)):
-                    await self._stop.wait()
+                    await self._stop_event.wait()
             except TimeoutError:
                 pass
-            self.record.elapsed_s = min(_since(start), end_s)
-            if _since(start) >= next_s:
-                self._measure(_since(start))
+            self.record.elapsed_s = min(_elapsed_s(start), end_s)
+            if _elapsed_s(start) >= next_s:
+                self._measure(_elapsed_s(start))
                 next_s += MEASURE_INTERVAL_S
             self._progress("running", self.record.elapsed_s)
 
-    async def _play_events(self, start: Start, timeline: tuple[Event, ...]) -> None:
+    async def _apply_events(self, start: Start, timeline: tuple[Event, ...]) -> None:
         for event in timeline:
-            await asyncio.sleep(max(0.0, event.at_s - _since(start)))
+            await asyncio.sleep(max(0.0, event.at_s - _elapsed_s(start)))
             if isinstance(event, BalancersStopped):
-                for balancer in self._own(event.balancers):
+                for balancer in self._balancers_in(event.balancers):
                     balancer.stop(graceful=event.graceful)
             elif isinstance(event, BalancersStarted):
-                for balancer in self._own(event.balancers):
+                for balancer in self._balancers_in(event.balancers):
                     self._run_task(self._restart(balancer))
 
-    def _own(self, balancers: tuple[int, ...]) -> list[RealBalancer]:
+    def _balancers_in(self, balancers: tuple[int, ...]) -> list[RealBalancer]:
         return [balancer for balancer in self._balancers if balancer.number in balancers]
 
     async def _restart(self, balancer: RealBalancer) -> None:
         await balancer.wait_stopped()
-        began = time.monotonic()
+        started_at = time.monotonic()
         await balancer.start(self._random)
         try:
             await balancer.wait_ready()
@@ -210,9 +214,9 @@
             self.record.failed_processes.append(
                 FailedProcess(str(error), None, tuple(balancer.log.last_lines()))
             )
-            self._stop.set()
+            self._stop_event.set()
             return
-        self.record.real_ready_ms.append(round((time.monotonic() - began) * 1e3, 1))
+        self.record.real_ready_ms.append(round((time.monotonic() - started_at) * 1e3, 1))
 
     def _measure(self, at_s: float) -> None:
         for monitor, pid in zip(self._monitors, self._pid_getters, strict=True):
@@ -225,31 +229,31 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    # ---- deaths ----
+    # ---- failed processes ----
 
-    async def _watch_children(self) -> None:
-        while not self._note_deaths():
+    async def _watch_for_failures(self) -> None:
+        while not self._record_failures():
             await asyncio.sleep(FAILURE_POLL_INTERVAL_S)
-        self._stop.set()
+        self._stop_event.set()
 
-    def _note_deaths(self) -> bool:
+    def _record_failures(self) -> bool:
         for child in self._children:
             if child.process is not None and child.pid is None and not child.is_stopping:
-                self._note_death(child.name, child.process.returncode, child.log.last_lines())
+                self._record_failure(child.name, child.process.returncode, child.log.last_lines())
         for balancer in self._balancers:
             if balancer.process is not None and balancer.pid is None and not balancer.is_stopping:
                 name = f"{BALANCER_ROLE} {balancer.number}"
-                self._note_death(name, balancer.process.returncode, balancer.log.last_lines())
+                self._record_failure(name, balancer.process.returncode, balancer.log.last_lines())
         return bool(self.record.failed_processes)
 
-    def _note_death(self, name: str, exit_code: int | None, lines: list[str]) -> None:
+    def _record_failure(self, name: str, exit_code: int | None, lines: list[str]) -> None:
         if name not in {dead.name for dead in self.record.failed_processes}:
             self.record.failed_processes.append(FailedProcess(name, exit_code, tuple(lines)))
 
-    # ---- end ----
+    # ---- stop ----
 
-    async def _end_all(self) -> None:
-        """The clients first, so that nobody is asked who has gone; nothing is left behind."""
+    async def _stop_all(self) -> None:
+        """Stop all processes, each before those that it connects to."""
         self._progress("ending", self.record.elapsed_s)
         tasks = list(self._tasks)
         for task in tasks:
@@ -265,5 +269,5 @@
                 await asyncio.gather(*(child.stop() for child in children))
 
 
-def _since(start: Start) -> float:
+def _elapsed_s(start: Start) -> float:
     return (time.monotonic_ns() - start.monotonic_ns) / 1e9
