--- a/emulator/fleet/clients.py
+++ b/emulator/fleet/clients.py
@@ -23,10 +23,10 @@
 )
 from emulator.fleet.contract import request_target
 from emulator.fleet.hollow_timers import TimerQueue
-from emulator.fleet.http_client import ConnectionPool, HttpResponse, HttpClientConnection
+from emulator.fleet.http_client import ConnectionPool, HttpClientConnection, HttpResponse
 from emulator.fleet.latency import LatencyRecorder
 from emulator.fleet.measures import ClientMeasure, RequestCounts
-from emulator.fleet.process import ScenarioClock, FleetContext, run_child, print_message
+from emulator.fleet.process import FleetContext, ScenarioClock, print_message, run_child
 from emulator.fleet.settings_for_balancers import tenant_name
 from emulator.fleet.timeline import Event
 
--- a/emulator/fleet/discovery.py
+++ b/emulator/fleet/discovery.py
@@ -9,7 +9,7 @@
 
 from emulator.fleet import timeline as events
 from emulator.fleet.deadlines import DeadlineHeap, DeadlineTimer
-from emulator.fleet.discovery_agent import DiscoveryAgent, AgentConnection, TrafficCounts
+from emulator.fleet.discovery_agent import AgentConnection, DiscoveryAgent, TrafficCounts
 from emulator.fleet.discovery_encoding import InstanceBuilder, RegionEncoder
 from emulator.fleet.discovery_list import ListSchedule
 from emulator.fleet.discovery_measures import (
@@ -19,7 +19,7 @@
     PropagationSeries,
 )
 from emulator.fleet.discovery_transfers import TransferQueue
-from emulator.fleet.process import ScenarioClock, FleetContext, run_child, print_message
+from emulator.fleet.process import FleetContext, ScenarioClock, print_message, run_child
 
 ROLE = "discovery"
 BACKLOG = 64
--- a/emulator/fleet/photo_server.py
+++ b/emulator/fleet/photo_server.py
@@ -1,8 +1,8 @@
 """Model of one photo server, without sockets and without a clock of its own.
 
-A server has cores that each do one request at a time and a first-in, first-out queue. It starts cold: its
-capacity grows linearly up to the whole. A cold server falls over when it is sent more than a multiple of its
-present capacity over a window.
+A server has cores that process one request at a time each and a bounded first-in, first-out queue. A server
+that has just started is cold: its capacity grows linearly to the full capacity. A cold server crashes when it
+receives more work within a time window than a multiple of its current capacity.
 """
 
 from __future__ import annotations
@@ -21,22 +21,22 @@
 
 
 class PhotoServerState(enum.Enum):
-    """What a server process does with requests."""
+    """State of a server process, which decides how it treats requests."""
 
     RUNNING = enum.auto()
-    DRAINING = enum.auto()  # finishes what it has
+    DRAINING = enum.auto()  # finishes its requests, accepts no new ones
     STOPPED = enum.auto()  # refuses connections
-    UNREACHABLE = enum.auto()  # is silent
-    CRASHED = enum.auto()  # was overloaded while cold; stays down until it is started again
+    UNREACHABLE = enum.auto()  # does not respond: its machine is lost
+    CRASHED = enum.auto()  # by overload while cold; stays down until it is started again
 
 
-# Members looked up once: these are compared for every attempt.
+# Looked up once, as these members are compared for every attempt.
 RUNNING, DRAINING, STOPPED, UNREACHABLE, CRASHED = PhotoServerState
 OK, FULL, RESET, CONNECT_FAILED = Outcome.OK, Outcome.FULL, Outcome.RESET, Outcome.CONNECT_FAILED
 
 
 class ServerJob:
-    """One attempt at one server, from its arrival until its end."""
+    """An attempt at a server, from its arrival to its end."""
 
     __slots__ = (
         "server",
@@ -64,38 +64,38 @@
         self.server = server
         self.balancer = balancer
         self.work_s = work_s  # on a core of speed 1
-        self.deadline_s = deadline_s  # when the balancer stops waiting
-        self.on_end = on_end  # called once with the outcome; never if the end is silent
-        self.is_cancelled = False  # cancelled: nobody waits for it
+        self.deadline_s = deadline_s  # end of the balancer's timeout
+        self.on_end = on_end  # called once with the outcome, or never if the balancer cannot learn of it
+        self.is_cancelled = False  # by the balancer
         self.is_finished = False
-        self.is_queued = False  # in the queue of its server
+        self.is_queued = False
         self.started_s = 0.0
-        self.remaining_work_s = 0.0  # work that was left at `since_s`, for a job on a core
+        self.remaining_work_s = 0.0  # of a job on a core, at `remaining_as_of_s`
         self.remaining_as_of_s = 0.0
-        self.finish_version = 0  # counts its planned finishes: only the last one is valid
+        self.finish_version = 0  # number of times its finish was scheduled; only the last is valid
 
 
 class FinishScheduler(Protocol):
-    """Calls a server back when one of its jobs should be done."""
+    """Calls a server when one of its jobs is due to finish."""
 
     def schedule_finish(self, at_s: float, server: PhotoServer, job: ServerJob, finish_version: int) -> None:
-        """Call `finish(at_s, job, plan)` of the server at that time."""
+        """Call `server.finish(at_s, job, finish_version)` at `at_s`."""
 
 
 class ServerCounts:
-    """What all servers of a process have done; reset by whoever reports it."""
+    """Totals over all servers of a process since the start of the run."""
 
     __slots__ = ("work_s", "wasted_work_s", "dropped", "crashes")
 
     def __init__(self) -> None:
-        self.work_s = 0.0  # done, on a core of speed 1
-        self.wasted_work_s = 0.0  # part of it that nobody waited for
-        self.dropped = 0  # cancelled or expired before they reached a core
+        self.work_s = 0.0  # finished, on a core of speed 1
+        self.wasted_work_s = 0.0  # of this, for attempts cancelled or timed out
+        self.dropped = 0  # attempts cancelled or timed out before they reached a core
         self.crashes: list[OverloadCrash] = []
 
 
 class OverloadCrash:
-    """A cold server that fell over, and who sent it the work of its last window."""
+    """Crash of a cold server by overload, with the attempts and balancers of its last window."""
 
     __slots__ = ("server", "at_s", "balancers", "attempts", "budget")
 
@@ -104,11 +104,11 @@
         self.at_s = at_s
         self.balancers = balancers
         self.attempts = attempts
-        self.budget = budget  # requests of mean work that it would have borne
+        self.budget = budget  # requests of mean work that it could have taken in the window
 
 
 class PhotoServer:
-    """One photo server."""
+    """Model of one photo server."""
 
     __slots__ = (
         "place",
@@ -143,8 +143,8 @@
         self.place = place
         self.state = RUNNING
         self.is_hung = False
-        self.in_flight = 0  # jobs on cores and in the queue that are not dropped
-        self.service_s = 0.0  # recent time on a core
+        self.in_flight = 0  # jobs on cores and in the queue, without dropped ones
+        self.service_s = 0.0  # smoothed time on a core of recent requests
         self.drain_started_s: float | None = None
         self._finish_scheduler = finish_scheduler
         self._counts = counts
@@ -156,15 +156,14 @@
         self._running: list[ServerJob] = []
         self._queue: deque[ServerJob] = deque()
         self._queued_count = 0
-        self._recent_arrivals: deque[tuple[float, float, int]] = (
-            deque()
-        )  # time, work and balancer of each arrival
+        # Time, work and balancer of each arrival within the overload window.
+        self._recent_arrivals: deque[tuple[float, float, int]] = deque()
         self._recent_work_s = 0.0
 
     # ---- requests ----
 
     def handle_arrival(self, now_s: float, job: ServerJob) -> Outcome | None:
-        """Take a request that has arrived; an outcome if it ends at once, None if it is taken or lost."""
+        """Process an arriving attempt; return its outcome, or None if it was accepted or lost."""
         state = self.state
         if state is not RUNNING and state is not DRAINING:
             return None if state is UNREACHABLE else CONNECT_FAILED
@@ -182,7 +181,7 @@
         return None
 
     def cancel(self, job: ServerJob) -> None:
-        """Nobody waits for the job any more: it is dropped if it waits, and goes on if it is on a core."""
+        """Cancel a job: a queued one is dropped, one on a core is processed to its end."""
         if job.is_finished or job.is_cancelled:
             return
         job.is_cancelled = True
@@ -190,7 +189,7 @@
             self._drop_queued(job)
 
     def finish(self, now_s: float, job: ServerJob, finish_version: int) -> None:
-        """A planned finish has come; ignored if it has been planned anew since."""
+        """Finish a job, unless its finish has been rescheduled since `finish_version`."""
         if job.is_finished or job.finish_version != finish_version:
             return
         self._running.remove(job)
@@ -209,20 +208,20 @@
     # ---- events ----
 
     def drain(self, now_s: float) -> None:
-        """Take nothing new, finish what is there."""
+        """Accept no new requests and finish the present ones."""
         if self.state is RUNNING:
             self.state, self.drain_started_s = DRAINING, now_s
 
     def stop(self, now_s: float) -> None:
-        """End the process: whatever is open ends as a reset."""
+        """Stop the process: all jobs end with a connection reset."""
         self._end_all_jobs(now_s, STOPPED, silent=False)
 
     def become_unreachable(self, now_s: float) -> None:
-        """Lose the machine: nothing is said to anyone."""
+        """Lose the machine: balancers learn nothing of the end of their attempts."""
         self._end_all_jobs(now_s, UNREACHABLE, silent=True)
 
     def start(self, now_s: float) -> None:
-        """Start anew and cold."""
+        """Restart the process; it is cold."""
         self._end_all_jobs(now_s, RUNNING, silent=True)
         self.is_hung, self._slow_factor = False, 1.0
         self.drain_started_s = None
@@ -232,13 +231,13 @@
         self._recent_work_s = 0.0
 
     def slow_down(self, now_s: float, factor: float) -> None:
-        """Work slower by a factor from now on; 1 is the usual speed."""
+        """Process requests slower by a factor from now on; 1 is the normal speed."""
         self._update_remaining_work(now_s)
         self._slow_factor = factor
         self._reschedule_finishes(now_s)
 
     def hang(self, now_s: float) -> None:
-        """Take requests and finish none."""
+        """Accept requests but finish none."""
         self._update_remaining_work(now_s)
         self.is_hung = True
         for job in self._running:
@@ -250,36 +249,36 @@
         self.is_hung, self._slow_factor = False, 1.0
         self._reschedule_finishes(now_s)
 
-    # ---- figures ----
+    # ---- measures ----
 
     def queue_length(self) -> int:
-        """Requests that wait for a core."""
+        """Number of requests that wait for a core."""
         return self._queued_count
 
     def busy_cores(self) -> int:
-        """Cores that have a request."""
+        """Number of cores with a request."""
         return len(self._running)
 
     def warm_capacity_share(self, now_s: float) -> float:
-        """Present capacity as a share of the whole."""
+        """Current capacity as a share of the capacity when warm."""
         age_s = now_s - self._started_s
         if age_s >= self._cold.warm_s:
             return 1.0
         return self._cold.from_share + (1 - self._cold.from_share) * max(0.0, age_s) / self._cold.warm_s
 
     def overload_budget(self, now_s: float) -> float:
-        """Requests of mean work that it bears within the window at its present capacity.
+        """Requests of mean work that a cold server can take within the window without a crash.
 
-        N requests by its capacity times the multiple, and 2 * sqrt(N) + 2 more for chance.
+        These are N = capacity * multiple, plus 2 * sqrt(N) + 2 as tolerance for random variation.
         """
         capacity = self.place.cores * self.place.speed * self.warm_capacity_share(now_s) / self._slow_factor
-        borne = self._cold.overload_multiple * capacity * self._cold.overload_window_s / self._mean_work_s
-        return borne + 2 * math.sqrt(borne) + 2
+        sustained = self._cold.overload_multiple * capacity * self._cold.overload_window_s / self._mean_work_s
+        return sustained + 2 * math.sqrt(sustained) + 2
 
-    # ---- inside ----
+    # ---- internal ----
 
     def _record_cold_arrival(self, now_s: float, job: ServerJob) -> bool:
-        """Count an arrival at a cold server; whether the server falls over by it."""
+        """Record an arrival at a cold server; return whether the server crashes by it."""
         window = self._recent_arrivals
         while window and window[0][0] <= now_s - self._cold.overload_window_s:
             self._recent_work_s -= window.popleft()[1]
@@ -301,7 +300,7 @@
             self._schedule_finish(now_s, job)
 
     def _start_queued_jobs(self, now_s: float) -> None:
-        """Give free cores to the first in the queue; drops on the way whom nobody waits for."""
+        """Start queued jobs on free cores, in order; those past their deadline are dropped."""
         while self._queue and len(self._running) < self.place.cores:
             job = self._queue.popleft()
             if job.is_finished:
@@ -314,7 +313,7 @@
             self._start_job(now_s, job)
 
     def _drop_queued(self, job: ServerJob) -> None:
-        """End a job that waits; its place in the queue is passed over later."""
+        """End a queued job; its entry stays in the queue and is skipped later."""
         job.is_finished, job.is_queued = True, False
         self._queued_count -= 1
         self.in_flight -= 1
@@ -332,7 +331,7 @@
                 self._schedule_finish(now_s, job)
 
     def _update_remaining_work(self, now_s: float) -> None:
-        """Take the work done until now off what is left of the running jobs."""
+        """Bring the remaining work of the running jobs up to date."""
         rate = 0.0 if self.is_hung else self.place.speed / self._slow_factor
         for job in self._running:
             done_s = rate * self._full_capacity_time(job.remaining_as_of_s, now_s)
@@ -340,7 +339,7 @@
             job.remaining_as_of_s = now_s
 
     def _full_capacity_time(self, begin_s: float, end_s: float) -> float:
-        """The integral of the warmth from one time to another."""
+        """Time at full capacity that does as much work as the given interval, with its warm-up."""
         warm_at_s = self._started_s + self._cold.warm_s
         if begin_s >= warm_at_s:
             return end_s - begin_s
@@ -348,22 +347,26 @@
         mean = (self.warm_capacity_share(begin_s) + self.warm_capacity_share(cold_end_s)) / 2
         return mean * (cold_end_s - begin_s) + max(0.0, end_s - warm_at_s)
 
-    def _duration_of(self, now_s: float, warm_s: float) -> float:
-        """How long it takes from now until the integral of the warmth has grown by so much."""
+    def _duration_of(self, now_s: float, full_capacity_s: float) -> float:
+        """Duration from now, with the warm-up, that does as much work as the given time at full capacity.
+
+        This is the inverse of `_full_capacity_time`.
+        """
         cold_left_s = self._started_s + self._cold.warm_s - now_s
         if cold_left_s <= 0:
-            return warm_s
-        gained_cold = self._full_capacity_time(now_s, now_s + cold_left_s)
-        if warm_s >= gained_cold:
-            return cold_left_s + warm_s - gained_cold
-        begin = self.warm_capacity_share(now_s)
+            return full_capacity_s
+        cold_full_capacity_s = self._full_capacity_time(now_s, now_s + cold_left_s)
+        if full_capacity_s >= cold_full_capacity_s:
+            return cold_left_s + full_capacity_s - cold_full_capacity_s
+        share = self.warm_capacity_share(now_s)
         slope = (1 - self._cold.from_share) / self._cold.warm_s
         if slope == 0:
-            return warm_s / begin
-        return (math.sqrt(begin * begin + 2 * slope * warm_s) - begin) / slope
+            return full_capacity_s / share
+        return (math.sqrt(share * share + 2 * slope * full_capacity_s) - share) / slope
 
-    def _end_all_jobs(self, now_s: float, state: PhotoServerState, *, silent: bool) -> None:
-        self.state = state
+    def _end_all_jobs(self, now_s: float, new_state: PhotoServerState, *, silent: bool) -> None:
+        """End all jobs and enter `new_state`; if `silent`, the balancers learn nothing of it."""
+        self.state = new_state
         jobs = self._running + [job for job in self._queue if not job.is_finished]
         self._running, self._queue = [], deque()
         self._queued_count = self.in_flight = 0
--- a/emulator/fleet/photo_server_batch.py
+++ b/emulator/fleet/photo_server_batch.py
@@ -1,4 +1,4 @@
-"""Attempts of hollow balancers: batches over one TCP connection from each of their processes."""
+"""Receives batches of attempts of hollow balancers, over one TCP connection from each hollow worker."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 import msgspec
 
 from emulator.fleet.contract import AttemptBatch, Result, ResultBatch, encode_frame, split_frames
-from emulator.fleet.photo_server_group import TrackedAttempt, PhotoServerGroup
+from emulator.fleet.photo_server_group import PhotoServerGroup, TrackedAttempt
 
-MAX_UNPARSED_BYTES = 16 * 1024 * 1024  # bytes of a batch that is not whole yet
-CANCEL_RETENTION_S = 1.0  # after its time-out, an attempt is not kept for a cancel any more
+MAX_UNPARSED_BYTES = 16 * 1024 * 1024  # of a batch that is still incomplete
+CANCEL_RETENTION_S = 1.0  # time after its timeout for which an attempt is kept, as a cancel may still arrive
 
 
 class BatchConnection(asyncio.Protocol):
-    """One process of hollow balancers."""
+    """Connection of one hollow worker."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
     ) -> None:
         self._group = group
         self._now_s = now_s
-        self._on_change = on_change  # to be called when there may be new deadlines or results
+        self._on_change = on_change  # called when deadlines or results may have been added
         self._connections = connections
         self._decoder: msgspec.msgpack.Decoder[AttemptBatch] = msgspec.msgpack.Decoder(AttemptBatch)
         self._received = bytearray()
@@ -41,7 +41,7 @@
         self._connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Part of asyncio.Protocol: the process is gone, and nobody waits for its attempts any more."""
+        """Part of asyncio.Protocol: the worker has ended, so cancel its attempts."""
         self._transport = None
         self._connections.discard(self)
         for attempt in self._open_attempts.values():
@@ -61,20 +61,20 @@
         self._on_change()
 
     def deliver(self, attempt: TrackedAttempt) -> None:
-        """Part of `Reply`."""
+        """Part of `ResultReceiver`."""
         if self._open_attempts.pop(attempt.number, None) is not None and attempt.outcome is not None:
             service_us = int(attempt.service_s * 1e6)
             name = attempt.outcome.name
             self._results.append(Result(attempt.number, name, attempt.in_flight, service_us))
 
     def flush(self) -> None:
-        """Send the results that have gathered."""
+        """Send the results received since the last flush."""
         if self._results and self._transport is not None:
             self._transport.write(encode_frame(ResultBatch(self._results)))
         self._results = []
 
     def forget_expired(self, now_s: float) -> None:
-        """Keep no attempt that its balancer has long given up."""
+        """Cancel attempts whose timeout passed more than `CANCEL_RETENTION_S` ago."""
         expired = [
             number
             for number, attempt in self._open_attempts.items()
@@ -104,6 +104,6 @@
                 self._group.cancel(cancelled)
 
     def abort(self) -> None:
-        """Break the connection."""
+        """Abort the connection."""
         if self._transport is not None:
             self._transport.abort()
--- a/emulator/fleet/photo_server_connections.py
+++ b/emulator/fleet/photo_server_connections.py
@@ -1,10 +1,10 @@
-"""Connections that hollow balancers would hold to photo servers, counted but not opened."""
+"""Counts the connections that hollow balancers would have to photo servers; none is opened."""
 
 from __future__ import annotations
 
 
 class BalancerConnections:
-    """The connections between one balancer and one server."""
+    """Connections between one balancer and one server."""
 
     __slots__ = ("in_use", "idle", "last_used_s")
 
@@ -14,12 +14,12 @@
         self.last_used_s = 0.0
 
     def count(self) -> int:
-        """All of them."""
+        """Number of connections, in use and idle."""
         return self.in_use + self.idle
 
 
 class ConnectionTable:
-    """All connections of one server."""
+    """Connections of one server."""
 
     __slots__ = ("open_count", "peak_count", "_by_balancer", "_keepalive_s")
 
@@ -30,7 +30,7 @@
         self._keepalive_s = keepalive_s
 
     def has_idle_connection(self, balancer: int, now_s: float) -> bool:
-        """Whether the balancer has a connection on which nothing is out and that is not too old."""
+        """Whether the balancer has an idle connection that has not reached the keep-alive time."""
         connections = self._by_balancer.get(balancer)
         return (
             connections is not None
@@ -39,7 +39,7 @@
         )
 
     def acquire(self, balancer: int, now_s: float) -> bool:
-        """Use an idle connection or open one; whether it is a new one."""
+        """Use an idle connection or open one; return whether it is new."""
         connections = self._by_balancer.get(balancer)
         if connections is None:
             connections = self._by_balancer[balancer] = BalancerConnections()
@@ -55,10 +55,10 @@
         return True
 
     def release(self, balancer: int, now_s: float, *, keep: bool) -> None:
-        """An attempt has ended; its connection stays idle, or is closed."""
+        """Return a connection after its attempt has ended; if not `keep`, it is closed."""
         connections = self._by_balancer.get(balancer)
         if connections is None or not connections.in_use:
-            return  # all were closed in the meantime
+            return  # all were closed before the attempt ended
         connections.in_use -= 1
         connections.last_used_s = now_s
         if keep:
@@ -67,17 +67,17 @@
             self.open_count -= 1
 
     def count_opened(self) -> None:
-        """Count one more connection."""
+        """Count a new connection."""
         self.open_count += 1
         self.peak_count = max(self.peak_count, self.open_count)
 
     def close_all(self) -> None:
-        """The process has ended, and all its connections with it."""
+        """Close all counted connections, as the server process has ended."""
         self.open_count -= sum(connections.count() for connections in self._by_balancer.values())
         self._by_balancer.clear()
 
     def close_idle(self, now_s: float) -> None:
-        """Close what has not been used for the keepalive time, also what was never answered."""
+        """Close connections unused for the keep-alive time, also those whose attempt was never answered."""
         old = [
             balancer
             for balancer, connections in self._by_balancer.items()
--- a/emulator/fleet/photo_server_group.py
+++ b/emulator/fleet/photo_server_group.py
@@ -1,4 +1,7 @@
-"""The photo servers of one process, behind the network: one heap of deadlines, no clock of its own."""
+"""The photo servers of one process and the network in front of them, without a clock of its own.
+
+Arrivals, finishes and returns of attempts are deadlines in one heap. Times are seconds of the scenario.
+"""
 
 from __future__ import annotations
 
@@ -11,32 +14,32 @@
 from emulator.fleet.discovery_list import AnnouncedLifecycles, ListSchedule
 from emulator.fleet.layout import Layout
 from emulator.fleet.photo_server import CONNECT_FAILED, CRASHED, FULL, OK, RESET, RUNNING, UNREACHABLE
-from emulator.fleet.photo_server import OverloadCrash, ServerJob, PhotoServer, ServerCounts, PhotoServerState
+from emulator.fleet.photo_server import OverloadCrash, PhotoServer, PhotoServerState, ServerCounts, ServerJob
 from emulator.fleet.photo_server_connections import ConnectionTable
 from emulator.fleet.photo_server_measures import AttemptCounts, FallMeasure, PhotoServersSecond
 from emulator.fleet.photo_server_measures import PhotoServersTotal, difference
 from emulator.fleet.scenario import Scenario
 from emulator.fleet.settings_for_balancers import CONNECT_TIMEOUT_S, DRAIN_GRACE_S, KEEPALIVE_S
 
-SOCKET_MARGIN_S = 0.05  # by which every time limit is longer on sockets
-MIN_TIMER_DELAY_S = 0.0005  # an answer that takes less than this to come back comes at once
-SWEEP_PARTITIONS = 8  # the tables of so many parts of the servers are swept in turn, one each second
+SOCKET_MARGIN_S = 0.05  # tolerance on time limits, for delays of the sockets
+MIN_TIMER_DELAY_S = 0.0005  # a response with a shorter network delay is delivered at once
+SWEEP_PARTITIONS = 8  # of the servers; idle connections of one partition are closed each second, in turn
 
 ARRIVE, FINISH, RETURN = range(3)  # kinds of deadlines
 
-# One deadline: time, order of adding, kind, job, and for a finish its server and plan.
+# Time, order of adding, kind and attempt of a deadline; for a finish also its server and version.
 Deadline = tuple[float, int, int, "TrackedAttempt", PhotoServer | None, int]
 
 
 class ResultReceiver(Protocol):
-    """Where the ends of attempts go."""
+    """Sender of attempts, which receives their results."""
 
     def deliver(self, attempt: TrackedAttempt) -> None:
-        """The answer has come back to the balancer; `outcome` and the report are set."""
+        """Receive the result of an attempt, after the network delay of the way back."""
 
 
 class TrackedAttempt(ServerJob):
-    """One attempt on its way to a server, there, and on its way back."""
+    """An attempt from its sending, over its time at the server, to the return of its result."""
 
     __slots__ = (
         "receiver",
@@ -51,18 +54,18 @@
     )
 
     receiver: ResultReceiver
-    number: int  # as the sender knows it
-    one_way_delay_s: float  # one way
+    number: int  # given by the sender
+    one_way_delay_s: float  # of the network
     sent_s: float
     outcome: Outcome | None
     in_flight: int
     service_s: float
-    over_http: bool  # its connection is a real one
-    is_lost: bool  # nothing will come back
+    over_http: bool  # on a real connection
+    is_lost: bool  # never gets a result
 
 
 class PhotoServerGroup:
-    """All servers that one process hosts."""
+    """The servers that one process hosts."""
 
     def __init__(
         self,
@@ -86,9 +89,9 @@
         self._heap: list[Deadline] = []
         self._added = 0
         self._splits: set[frozenset[int]] = set()
-        self._reported = AttemptCounts()
-        self._reported_falls = 0
-        self._second_late_s = 0.0
+        self._reported_counts = AttemptCounts()
+        self._reported_crash_count = 0
+        self._max_late_in_second_s = 0.0
         self._sweep_index = 0
         mean_work_s = scenario.mean_work_s()
         for place in layout.servers[index::processes]:
@@ -101,7 +104,7 @@
     # ---- attempts ----
 
     def is_known_pair(self, server: int, balancer: int) -> bool:
-        """Whether the server is one of this process's, and the balancer one of the fleet's."""
+        """Whether this process hosts the server and the fleet has the balancer."""
         return server in self.servers and 0 <= balancer < len(self._balancer_zones)
 
     def submit(
@@ -116,7 +119,7 @@
         *,
         over_http: bool = False,
     ) -> TrackedAttempt:
-        """A balancer sends an attempt now; `reply` hears of its end, unless that is silent."""
+        """Send an attempt now; `receiver` gets its result, unless the attempt is lost or cancelled."""
         hosted = self.servers[server]
         attempt = TrackedAttempt(server, balancer, work_s, now_s + wait_s, self._on_job_end)
         attempt.receiver, attempt.number, attempt.over_http = receiver, number, over_http
@@ -131,12 +134,12 @@
             return attempt
         arrival_s = now_s + attempt.one_way_delay_s
         if not over_http and self.connection_tables[server].acquire(balancer, now_s):
-            arrival_s += 2 * attempt.one_way_delay_s  # a new connection comes up first
+            arrival_s += 2 * attempt.one_way_delay_s  # for the handshake of a new connection
         self._push(arrival_s, ARRIVE, attempt)
         return attempt
 
     def cancel(self, attempt: TrackedAttempt) -> None:
-        """The balancer has given up the attempt: by a cancel or by a time-out."""
+        """Cancel an attempt: the balancer cancels it or its timeout has passed."""
         if attempt.outcome is not None or attempt.is_cancelled:
             return
         self.counts.cancelled += not attempt.is_lost
@@ -148,19 +151,19 @@
     # ---- time ----
 
     def next_deadline(self) -> float | None:
-        """Part of `Paced`."""
+        """Part of `DeadlineOwner`."""
         return self._heap[0][0] if self._heap else None
 
     def advance(self, now_s: float) -> None:
-        """Part of `Paced`: everything that is due happens, each at its own time."""
+        """Part of `DeadlineOwner`: process the deadlines that are due, each at its own time."""
         heap = self._heap
         if heap:
-            self._second_late_s = max(self._second_late_s, now_s - heap[0][0])
+            self._max_late_in_second_s = max(self._max_late_in_second_s, now_s - heap[0][0])
         while heap and heap[0][0] <= now_s:
             at_s, _, kind, attempt, server, finish_version = heapq.heappop(heap)
             self.now_s = at_s
             if kind == ARRIVE:
-                self._arrive(at_s, attempt)
+                self._handle_arrival(at_s, attempt)
             elif kind == RETURN:
                 self._deliver(attempt)
             elif server is not None:
@@ -168,12 +171,12 @@
         self.now_s = now_s
 
     def schedule_finish(self, at_s: float, server: PhotoServer, job: ServerJob, finish_version: int) -> None:
-        """Part of `Planner`."""
+        """Part of `FinishScheduler`."""
         assert isinstance(job, TrackedAttempt)
         self._push(at_s, FINISH, job, server, finish_version)
 
     def apply(self, event: events.Event) -> None:
-        """One event of the timeline happens, at its own time."""
+        """Apply an event of the timeline at the time of the event."""
         self.advance(event.at_s)
         at_s = event.at_s
         match event:
@@ -208,7 +211,7 @@
     # ---- measures ----
 
     def take_second(self, at_s: float) -> PhotoServersSecond:
-        """What happened since the last call, and what is there now."""
+        """Measures of the time since the last call and of the present state."""
         self._close_idle_connections(at_s)
         totals = self._totals()
         up = [
@@ -216,36 +219,36 @@
             for server in self.servers.values()
             if server.state in (PhotoServerState.RUNNING, PhotoServerState.DRAINING)
         ]
-        falls = self.server_counts.crashes[self._reported_falls :]
+        crashes = self.server_counts.crashes[self._reported_crash_count :]
         measures = PhotoServersSecond(
             index=self.index,
             at_s=at_s,
-            counts=difference(totals, self._reported),
+            counts=difference(totals, self._reported_counts),
             queued=sum(server.queue_length() for server in up),
             busy_cores=sum(server.busy_cores() for server in up),
             cores=sum(server.place.cores for server in up),
             servers_up=len(up),
             connections=sum(table.open_count for table in self.connection_tables.values()),
             most_connections=self._most_connections(),
-            falls=tuple(map(_fall_measure, falls)),
-            late_ms=self._second_late_s * 1e3,
+            falls=tuple(map(_to_fall_measure, crashes)),
+            late_ms=self._max_late_in_second_s * 1e3,
         )
-        self._reported, self._reported_falls = totals, len(self.server_counts.crashes)
-        self.max_late_s, self._second_late_s = max(self.max_late_s, self._second_late_s), 0.0
+        self._reported_counts, self._reported_crash_count = totals, len(self.server_counts.crashes)
+        self.max_late_s, self._max_late_in_second_s = max(self.max_late_s, self._max_late_in_second_s), 0.0
         return measures
 
     def summarize_run(self, at_s: float) -> PhotoServersTotal:
-        """What happened over the whole run."""
+        """Measures of the whole run."""
         return PhotoServersTotal(
             index=self.index,
             at_s=at_s,
             counts=self._totals(),
             most_connections=self._most_connections(),
-            falls=tuple(map(_fall_measure, self.server_counts.crashes)),
-            late_ms=max(self.max_late_s, self._second_late_s) * 1e3,
+            falls=tuple(map(_to_fall_measure, self.server_counts.crashes)),
+            late_ms=max(self.max_late_s, self._max_late_in_second_s) * 1e3,
         )
 
-    # ---- inside ----
+    # ---- internal ----
 
     def _push(
         self,
@@ -267,7 +270,7 @@
         return frozenset((here, there)) in self._splits
 
     def _submit_to_unreachable(self, now_s: float, attempt: TrackedAttempt) -> None:
-        """On an open connection nothing comes back; a new one does not come up in time."""
+        """On an open connection the attempt is lost; a new connection fails after the connect timeout."""
         table = self.connection_tables[attempt.server]
         if attempt.over_http or table.has_idle_connection(attempt.balancer, now_s):
             if not attempt.over_http:
@@ -278,7 +281,7 @@
         self.counts.connect_failed += 1
         self._push(now_s + CONNECT_TIMEOUT_S, RETURN, attempt)
 
-    def _arrive(self, at_s: float, attempt: TrackedAttempt) -> None:
+    def _handle_arrival(self, at_s: float, attempt: TrackedAttempt) -> None:
         if attempt.is_cancelled:
             self.server_counts.dropped += 1
             return
@@ -342,5 +345,5 @@
         return totals
 
 
-def _fall_measure(fall: OverloadCrash) -> FallMeasure:
-    return FallMeasure(fall.server, fall.at_s, fall.balancers, fall.attempts, fall.budget)
+def _to_fall_measure(crash: OverloadCrash) -> FallMeasure:
+    return FallMeasure(crash.server, crash.at_s, crash.balancers, crash.attempts, crash.budget)
--- a/emulator/fleet/photo_server_http.py
+++ b/emulator/fleet/photo_server_http.py
@@ -1,4 +1,4 @@
-"""Photo servers on loopback sockets: HTTP/1.1 at an address of its own for each server."""
+"""Serves HTTP/1.1 for the photo servers, each at its own loopback address."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 from dykeshift.interface import Outcome
 from emulator.fleet.contract import Address
-from emulator.fleet.photo_server_group import TrackedAttempt, PhotoServerGroup
+from emulator.fleet.photo_server_group import PhotoServerGroup, TrackedAttempt
 from emulator.fleet.settings_for_balancers import LOAD_REPORT_FIELDS
 
 BACKLOG = 128
-DEFAULT_WAIT_S = 4.0  # for a request that does not tell its deadline
+DEFAULT_WAIT_S = 4.0  # for a request without X-Deadline-Ms
 NOT_FOUND = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
 NOT_EXECUTED = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 
 
 class HttpContext:
-    """What all connections of a process share."""
+    """Objects that all connections of a process share."""
 
     def __init__(
         self,
@@ -34,11 +34,11 @@
         self.group = group
         self.mean_work_s = mean_work_s
         self.now_s = now_s
-        self.on_change = on_change  # to be called when there may be new deadlines
+        self.on_change = on_change  # called when deadlines may have been added
 
 
 class ServerEndpoint:
-    """The socket of one photo server, and the connections to it."""
+    """Listening socket and connections of one photo server."""
 
     def __init__(self, number: int, address: Address, context: HttpContext) -> None:
         self.number = number
@@ -57,14 +57,14 @@
         )
 
     def stop(self) -> None:
-        """The process has ended: connections break, new ones are refused."""
+        """Stop the server process: its connections are aborted and new ones refused."""
         self._close_black_hole()
         self._close_server()
         for connection in list(self.connections):
             connection.abort()
 
     def become_unreachable(self) -> None:
-        """The machine is gone: connections stay silent, new ones never come up."""
+        """Lose the machine: open connections stay silent and new ones are neither accepted nor refused."""
         self._close_server()
         self._open_black_hole()
 
@@ -74,7 +74,7 @@
             self._server = None
 
     def _open_black_hole(self) -> None:
-        """Listen with the shortest queue and fill it: the kernel drops every further connect."""
+        """Listen with the shortest backlog and fill it: the kernel then drops all further connects."""
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         address = (self._address.host, self._address.port)
@@ -86,13 +86,13 @@
         self._black_hole = [listener, filler]
 
     def _close_black_hole(self) -> None:
-        for held in self._black_hole:
-            held.close()
+        for black_hole_socket in self._black_hole:
+            black_hole_socket.close()
         self._black_hole = []
 
 
 class HttpServerConnection(asyncio.Protocol):
-    """One connection of a real balancer to a photo server; one request at a time."""
+    """Connection of a real balancer to a photo server, with one request at a time."""
 
     def __init__(self, endpoint: ServerEndpoint) -> None:
         self._endpoint = endpoint
@@ -104,7 +104,7 @@
         self._headers: dict[bytes, bytes] = {}
 
     def abort(self) -> None:
-        """Break the connection."""
+        """Abort the connection."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -117,7 +117,7 @@
         self._context.group.connection_tables[self._endpoint.number].count_opened()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Part of asyncio.Protocol: whoever closes gives up what is out on the connection."""
+        """Part of asyncio.Protocol: closing the connection cancels its attempt."""
         self._transport = None
         self._endpoint.connections.discard(self)
         self._context.group.connection_tables[self._endpoint.number].open_count -= 1
@@ -135,21 +135,21 @@
     # ---- callbacks of the parser ----
 
     def on_message_begin(self) -> None:
-        """A request begins; a second one before the answer breaks the protocol."""
+        """A request begins. One before the response to the previous request aborts the connection."""
         if self._attempt is not None:
             self.abort()
         self._target, self._headers = b"", {}
 
     def on_url(self, url: bytes) -> None:
-        """A piece of the target."""
+        """Part of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header."""
+        """A request header."""
         self._headers[name.lower()] = value
 
     def on_message_complete(self) -> None:
-        """The request is whole: a photo server begins it now."""
+        """The request is complete: submit it to the photo server."""
         if self._transport is None or self._attempt is not None:
             return
         if b"x-request-id" not in self._headers:
@@ -175,10 +175,10 @@
         )
         context.on_change()
 
-    # ---- the answer ----
+    # ---- response ----
 
     def deliver(self, attempt: TrackedAttempt) -> None:
-        """Part of `Reply`."""
+        """Part of `ResultReceiver`."""
         if attempt is not self._attempt or self._transport is None:
             return
         self._attempt = None
@@ -203,5 +203,5 @@
 
 
 def _parse_number(text: bytes | None, default: float) -> float:
-    """A whole number of a header or query; the default if it is missing or something else."""
+    """Parse a non-negative integer of a header or query; the default if it is missing or malformed."""
     return float(text) if text and text.isdigit() else default
--- a/emulator/fleet/photo_server_measures.py
+++ b/emulator/fleet/photo_server_measures.py
@@ -1,4 +1,4 @@
-"""What a process that hosts photo servers reports each second, and over the whole run."""
+"""Measures of a process that hosts photo servers, for each second and for the whole run."""
 
 from __future__ import annotations
 
@@ -8,30 +8,34 @@
 
 
 class FallMeasure(msgspec.Struct, frozen=True):
-    """A cold server that was pushed over."""
+    """A cold server that crashed by overload."""
 
     server: int
     at_s: float
-    balancers: int  # that sent to it within the window
+    balancers: int  # that sent attempts to it within the window
     attempts: int  # within the window
-    budget: float  # requests of mean work that it would have borne
+    budget: float  # requests of mean work that it could have taken in the window
 
 
 class AttemptCounts(msgspec.Struct):
-    """Attempts by how they ended; each attempt is in one count once it has ended."""
+    """Attempts by outcome, and the work of the servers.
 
-    attempts: int = 0  # that came in
+    An attempt that has ended is counted in one of `ok`, `full`, `connect_failed`, `reset`, `cancelled` and
+    `lost`.
+    """
+
+    attempts: int = 0  # received
     ok: int = 0
     full: int = 0
     connect_failed: int = 0
     reset: int = 0
-    cancelled: int = 0  # given up by the balancer, by a cancel or a time-out
-    lost: int = 0  # on the way to a server that is silent or cut off; never answered
-    after_drain_told: int = 0  # sent although the balancer had been told of a drain, a grace ago
-    work_s: float = 0.0  # done, on a core of speed 1
-    wasted_work_s: float = 0.0  # part of it that nobody waited for
-    dropped: int = 0  # cancelled or expired in a queue
-    http: int = 0  # attempts that came over HTTP
+    cancelled: int = 0  # by the balancer, or timed out there
+    lost: int = 0  # sent to a server whose machine is lost or that is split off
+    after_drain_told: int = 0  # sent more than a grace period after the balancer was informed of a drain
+    work_s: float = 0.0  # finished, on a core of speed 1
+    wasted_work_s: float = 0.0  # of this, for attempts cancelled or timed out
+    dropped: int = 0  # cancelled or timed out before they reached a core
+    http: int = 0  # received over HTTP
 
 
 class PhotoServersSecond(msgspec.Struct, frozen=True, tag=True):
@@ -45,13 +49,13 @@
     cores: int  # of the servers that are up
     servers_up: int
     connections: int
-    most_connections: int  # at one server, ever
+    most_connections: int  # at one server, since the start of the run
     falls: tuple[FallMeasure, ...]
-    late_ms: float  # how late the process was with its own deadlines at the worst
+    late_ms: float  # greatest lateness of the process behind its own deadlines
 
 
 class PhotoServersTotal(msgspec.Struct, frozen=True, tag=True):
-    """The whole run of one process."""
+    """The whole run of one process; fields as in `PhotoServersSecond`."""
 
     index: int
     at_s: float
@@ -62,7 +66,7 @@
 
 
 def difference(now: AttemptCounts, before: AttemptCounts) -> AttemptCounts:
-    """What has been counted in between."""
+    """Counts of `now` less those of `before`."""
     fields: dict[str, Any] = {
         name: getattr(now, name) - getattr(before, name) for name in AttemptCounts.__struct_fields__
     }
--- a/emulator/fleet/photo_server_process.py
+++ b/emulator/fleet/photo_server_process.py
@@ -1,7 +1,7 @@
-"""Stand-in photo servers as a process: `python -m emulator.fleet.photo_server_process`.
+"""Process that hosts stand-in photo servers: `python -m emulator.fleet.photo_server_process`.
 
-Of k such processes, process i hosts the servers whose number leaves i when divided by k. Attempts come over
-HTTP from real balancers and in batches from hollow ones, and meet the same models.
+Of k such processes, process i hosts each server with number % k == i. Real balancers send attempts over HTTP
+and hollow balancers in batches; both are processed by the same server models.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 from emulator.fleet.deadlines import DeadlineTimer
 from emulator.fleet.photo_server_batch import BatchConnection
 from emulator.fleet.photo_server_group import PhotoServerGroup
-from emulator.fleet.photo_server_http import ServerEndpoint, HttpContext
-from emulator.fleet.process import ScenarioClock, FleetContext, run_child, print_message
+from emulator.fleet.photo_server_http import HttpContext, ServerEndpoint
+from emulator.fleet.process import FleetContext, ScenarioClock, print_message, run_child
 
 ROLE = "photo_server"
 BATCH_HOST = "127.0.0.1"
 
 
 class PhotoServerProcess:
-    """The models of one process, their sockets and their measures."""
+    """The server models of one process, with their sockets and measures."""
 
     def __init__(self, fleet: FleetContext) -> None:
         config, scenario = fleet.config, fleet.scenario
@@ -42,7 +42,7 @@
         self._restart_tasks: set[asyncio.Task[None]] = set()
 
     async def listen(self) -> None:
-        """Listen at every server's address, and for batches."""
+        """Listen at the addresses of all servers and for batches."""
         for endpoint in self.endpoints.values():
             await endpoint.listen()
         port = self.fleet.config.addresses.shard_ports[self.fleet.config.index]
@@ -56,48 +56,48 @@
         )
 
     def start(self, clock: ScenarioClock) -> None:
-        """Serve deadlines from here on."""
+        """Start to process deadlines."""
         self.clock = clock
         self.deadline_timer = DeadlineTimer(asyncio.get_running_loop(), clock.now_s, self)
         self.deadline_timer.rearm()
 
     def apply(self, event: events.Event) -> None:
-        """An event happens to the models and to their sockets."""
+        """Apply an event to the models and to their sockets."""
         self.group.apply(event)
         match event:
             case events.ServersStopped():
-                for endpoint in self._hosted(event.servers):
+                for endpoint in self._hosted_endpoints(event.servers):
                     endpoint.stop()
             case events.ServersVanished():
-                for endpoint in self._hosted(event.servers):
+                for endpoint in self._hosted_endpoints(event.servers):
                     endpoint.become_unreachable()
             case events.ServersStarted():
-                self._start_restart(self._hosted(event.servers))
-        self._flush()
+                self._schedule_restart(self._hosted_endpoints(event.servers))
+        self._publish_results()
         self._rearm()
 
     def next_deadline(self) -> float | None:
-        """Part of `Paced`."""
+        """Part of `DeadlineOwner`."""
         return self.group.next_deadline()
 
     def advance(self, now_s: float) -> None:
-        """Part of `Paced`: serve the models' deadlines and send what came of them."""
+        """Part of `DeadlineOwner`: process the deadlines of the models and send the results."""
         self.group.advance(now_s)
-        self._flush()
+        self._publish_results()
 
     def measure(self, at_s: float) -> None:
-        """Report one second."""
+        """Print the measures of one second."""
         for connection in self.batch_connections:
             connection.forget_expired(at_s)
         print_message(self.group.take_second(at_s))
 
     def finish(self) -> None:
-        """Report the whole run and close the sockets."""
+        """Print the measures of the whole run and close the sockets."""
         print_message(self.group.summarize_run(self.clock.now_s()))
         self.close()
 
     def close(self) -> None:
-        """Listen no more and call nothing any more."""
+        """Stop the timer and close all sockets."""
         if self.deadline_timer is not None:
             self.deadline_timer.stop()
         for server in self.servers:
@@ -107,10 +107,11 @@
         for endpoint in self.endpoints.values():
             endpoint.stop()
 
-    def _hosted(self, numbers: tuple[int, ...]) -> list[ServerEndpoint]:
+    def _hosted_endpoints(self, numbers: tuple[int, ...]) -> list[ServerEndpoint]:
         return [self.endpoints[number] for number in numbers if number in self.endpoints]
 
-    def _flush(self) -> None:
+    def _publish_results(self) -> None:
+        """Stop the endpoints of servers that have crashed, and send the results of batched attempts."""
         crashes = self.group.server_counts.crashes
         for crash in crashes[self._handled_crash_count :]:
             self.endpoints[crash.server].stop()
@@ -118,7 +119,7 @@
         for connection in self.batch_connections:
             connection.flush()
 
-    def _start_restart(self, endpoints: list[ServerEndpoint]) -> None:
+    def _schedule_restart(self, endpoints: list[ServerEndpoint]) -> None:
         task = asyncio.get_running_loop().create_task(_restart(endpoints))
         self._restart_tasks.add(task)
         task.add_done_callback(self._restart_tasks.discard)
@@ -138,7 +139,7 @@
 
 
 def main() -> int:
-    """Run stand-in photo servers until standard input ends."""
+    """Run stand-in photo servers until the end of standard input."""
     return run_child(ROLE, PhotoServerProcess)
 
 
