--- a/emulator/fleet/command.py
+++ b/emulator/fleet/command.py
@@ -1,4 +1,4 @@
-"""The command `fleet`: run a scenario, write its report and hold its figures against the bars."""
+"""The command `fleet`: run a scenario, write its report and check its figures against the bars."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 OUTPUT_ROOT = Path("emulator-out")
 SCENARIO_FILE = "scenario.toml"
 
-HELP = """Run the fleet of a scenario file on this machine, on loopback alone.
+HELP = """Run the fleet of a scenario file on this machine, on loopback only.
 
 Stand-in discovery, stand-in photo servers, hollow balancers, real balancer processes and their clients
-play the scenario. Measures, events, a summary and plots are written to a folder; Ctrl-C ends the run and
-still writes what it has.
+run the scenario. Measures, events, a summary and plots are written to a folder; Ctrl-C ends the run early
+and still writes them.
 
 \b
 Examples:
@@ -39,10 +39,10 @@
 
 
 class OneLineCommand(click.Command):
-    """A command whose bad calls are told in one line."""
+    """A command that reports invalid arguments in one line."""
 
     def parse_args(self, ctx: click.Context, args: list[str]) -> list[str]:
-        """Arguments as click reads them; BadInputError where it can't."""
+        """Parse the arguments; raises BadInputError instead of UsageError."""
         try:
             return super().parse_args(ctx, args)
         except click.UsageError as error:
@@ -56,7 +56,7 @@
     "--traffic",
     type=click.FloatRange(0.0, 1.0, min_open=True),
     default=1.0,
-    help="Share of the scenario's requests to make: 8 cores don't carry all of the target's.",
+    help="Share of the scenario's requests to make: 8 cores cannot carry all of the target's.",
 )
 @click.option("--seed", type=click.IntRange(min=0), help="Seed of all events; default: the scenario's.")
 @click.option(
@@ -68,7 +68,7 @@
 def command(
     scenario_path: Path, quick: bool, traffic: float, seed: int | None, out: Path | None, bars: bool
 ) -> None:
-    """See HELP."""
+    """Run a scenario; the help text is HELP."""
     scenario = load_scenario(scenario_path)
     folder = _make_folder(out, scenario)
     path = folder / SCENARIO_FILE
@@ -84,7 +84,7 @@
     summary = write_report(record)
     print_summary(summary, Console())
     click.echo(f"results: {folder}")
-    _judge(record, summary, bars)
+    _check_outcome(record, summary, bars)
 
 
 def _make_folder(out: Path | None, scenario: Scenario) -> Path:
@@ -93,17 +93,17 @@
         folder = OUTPUT_ROOT / f"{scenario.name}-{datetime.now(UTC):%Y%m%dT%H%M%SZ}"
     try:
         folder.mkdir(parents=True, exist_ok=True)
-        occupied = any(folder.iterdir())
+        is_occupied = any(folder.iterdir())
     except OSError as error:
         raise BadInputError(f"{folder}: cannot be written to: {error.strerror or error}") from None
-    if occupied:
+    if is_occupied:
         raise BadInputError(f"{folder}: is not empty")
     return folder
 
 
 @contextmanager
 def _show_progress(scenario: Scenario) -> Iterator[Callable[[str, float], None]]:
-    """A bar on the terminal's error stream; nothing where no person watches."""
+    """Show a progress bar on standard error if it is a terminal."""
     console = Console(stderr=True)
     columns = (TextColumn("{task.description}"), BarColumn(), TimeElapsedColumn())
     with Progress(*columns, console=console, disable=not console.is_terminal) as bar:
@@ -111,18 +111,22 @@
         yield lambda phase, elapsed_s: bar.update(task, description=phase, completed=elapsed_s)
 
 
-def _judge(record: RunRecord, summary: Summary, bars: bool) -> None:
+def _check_outcome(record: RunRecord, summary: Summary, bars: bool) -> None:
     if record.failed_processes:
-        raise BarFailedError("; ".join(map(_describe_death, record.failed_processes)))
+        raise BarFailedError("; ".join(map(_describe_failure, record.failed_processes)))
     if record.interrupted:
-        return  # what was measured until then is no verdict
-    missed = [bar for bar in summary.bars if not bar.holds]
-    if bars and missed:
-        raise BarFailedError("missed: " + "; ".join(bar.name for bar in missed))
-
-
-def _describe_death(dead: FailedProcess) -> str:
-    text = dead.name if dead.exit_code is None else f"{dead.name} died with exit code {dead.exit_code}"
-    if dead.last_lines:
-        text += ", its last log lines:\n  " + "\n  ".join(dead.last_lines)
+        return  # the figures of an interrupted run are not checked against the bars
+    missed_bars = [bar for bar in summary.bars if not bar.holds]
+    if bars and missed_bars:
+        raise BarFailedError("missed: " + "; ".join(bar.name for bar in missed_bars))
+
+
+def _describe_failure(failure: FailedProcess) -> str:
+    text = (
+        failure.name
+        if failure.exit_code is None
+        else f"{failure.name} died with exit code {failure.exit_code}"
+    )
+    if failure.last_lines:
+        text += ", its last log lines:\n  " + "\n  ".join(failure.last_lines)
     return text
--- a/emulator/fleet/layout.py
+++ b/emulator/fleet/layout.py
@@ -1,4 +1,4 @@
-"""Where each member of a fleet stands: pure functions of scenario and seed, the same in every process."""
+"""The place of each member of a fleet: pure functions of scenario and seed, equal in every process."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 from emulator.fleet.apportion import apportion, interleave
 from emulator.fleet.scenario import Scenario, Zone
 
-SPEED_STREAM = 1  # tells this use of the seed from others
-MS = 1e-3
+SPEED_STREAM = 1  # separates this random stream from others with the same seed
+S_PER_MS = 1e-3
 
 
 @dataclass(frozen=True, slots=True)
 class ServerPlace:
-    """One photo server: everything about it that does not change during a run."""
+    """The properties of one photo server that do not change during a run."""
 
     number: int
     zone: int
     region: int
-    rack: int  # over all zones
-    cell: int  # over all zones
+    rack: int  # numbered over all zones
+    cell: int  # numbered over all zones
     kind: int
     cores: int
-    speed: float  # of one core, before any slowdown
+    speed: float  # of one core, without slowdowns
 
 
 @dataclass(frozen=True, slots=True)
 class Layout:
-    """Places of all members, and the shares of the tenants."""
+    """The places of all members, the shares of the tenants and the network delays."""
 
     zone_names: tuple[str, ...]
     region_names: tuple[str, ...]
@@ -53,7 +53,7 @@
 
     def balancers_in_zone(self, zone: int) -> list[int]:
         """Numbers of the balancers of a zone."""
-        return [number for number, own in enumerate(self.balancer_zones) if own == zone]
+        return [number for number, balancer_zone in enumerate(self.balancer_zones) if balancer_zone == zone]
 
     def balancer_region(self, balancer: int) -> int:
         """The region of a balancer."""
@@ -73,29 +73,29 @@
         servers=_place_servers(scenario, region_of_zone, seed),
         balancer_zones=_place_balancers(scenario.balancers.total, zones),
         tenant_shares=tenant_shares(scenario.tenants.count, scenario.tenants.zipf_exponent),
-        delays_s=_delays(scenario, region_of_zone),
+        delays_s=_build_delays(scenario, region_of_zone),
     )
 
 
 def tenant_shares(count: int, exponent: float) -> tuple[float, ...]:
-    """Shares of the requests by Zipf's law, the largest first."""
+    """Shares of the tenants in the requests by Zipf's law, largest first."""
     weights = numpy.arange(1, count + 1, dtype=float) ** -exponent
     return tuple((weights / weights.sum()).tolist())
 
 
 def instance_id(number: int, replacements: int) -> str:
-    """The name in discovery of a server whose machine has been replaced so many times."""
+    """Instance id in discovery of a server whose machine has been replaced so many times."""
     return f"s-{number:05d}-{replacements}"
 
 
 def _place_servers(scenario: Scenario, region_of_zone: tuple[int, ...], seed: int) -> tuple[ServerPlace, ...]:
     kinds = scenario.servers.kinds
     kind_of = interleave(apportion(scenario.servers.count, [kind.share for kind in kinds]))
-    draws = numpy.random.default_rng([seed, SPEED_STREAM]).random(scenario.servers.count).tolist()
+    speed_draws = numpy.random.default_rng([seed, SPEED_STREAM]).random(scenario.servers.count).tolist()
     places: list[ServerPlace] = []
     first_rack = first_cell = 0
     for zone, count in enumerate(scenario.servers_per_zone()):
-        for within in range(count):
+        for index_in_zone in range(count):
             number = len(places)
             kind = kinds[kind_of[number]]
             slowest, fastest = kind.speed
@@ -104,11 +104,11 @@
                     number=number,
                     zone=zone,
                     region=region_of_zone[zone],
-                    rack=first_rack + within // scenario.servers.rack_size,
-                    cell=first_cell + within // scenario.servers.cell_size,
+                    rack=first_rack + index_in_zone // scenario.servers.rack_size,
+                    cell=first_cell + index_in_zone // scenario.servers.cell_size,
                     kind=kind_of[number],
                     cores=kind.cores,
-                    speed=slowest + (fastest - slowest) * draws[number],
+                    speed=slowest + (fastest - slowest) * speed_draws[number],
                 )
             )
         first_rack += -(-count // scenario.servers.rack_size)
@@ -120,15 +120,15 @@
     return tuple(interleave(apportion(total, [zone.traffic_share for zone in zones])))
 
 
-def _delays(scenario: Scenario, region_of_zone: tuple[int, ...]) -> tuple[tuple[float, ...], ...]:
+def _build_delays(scenario: Scenario, region_of_zone: tuple[int, ...]) -> tuple[tuple[float, ...], ...]:
     network = scenario.network
 
-    def delay(here: int, there: int) -> float:
-        if here == there:
-            return network.same_zone_ms * MS
-        if region_of_zone[here] == region_of_zone[there]:
-            return network.cross_zone_ms * MS
-        return network.cross_region_ms * MS
+    def delay(from_zone: int, to_zone: int) -> float:
+        if from_zone == to_zone:
+            return network.same_zone_ms * S_PER_MS
+        if region_of_zone[from_zone] == region_of_zone[to_zone]:
+            return network.cross_zone_ms * S_PER_MS
+        return network.cross_region_ms * S_PER_MS
 
     zones = range(len(region_of_zone))
-    return tuple(tuple(delay(here, there) for there in zones) for here in zones)
+    return tuple(tuple(delay(from_zone, to_zone) for to_zone in zones) for from_zone in zones)
--- a/emulator/fleet/scenario.py
+++ b/emulator/fleet/scenario.py
@@ -1,6 +1,6 @@
-"""Scenario files: what a fleet consists of, what its clients do and what happens to it.
+"""Scenario files: the members of a fleet, its clients, its network and the events of a run.
 
-A file that cannot be used raises `BadInputError` with one line that names the file and the key path.
+An invalid file raises `BadInputError` with a one-line message that names the file and the path of the key.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
     Share,
 )
 
-SHARE_TOLERANCE = 1e-6  # by which shares that make up a whole may miss 1
+SHARE_TOLERANCE = 1e-6  # by how much the sum of shares of a whole may differ from 1
 SECONDS_PER_DAY = 86_400.0
 
 Name = Annotated[str, Field(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]*$")]
@@ -46,7 +46,7 @@
 
 
 class Region(ScenarioModel):
-    """Zones that have a replica of discovery in common."""
+    """Zones that share a replica of discovery."""
 
     name: Name
     zones: Annotated[tuple[Zone, ...], Field(min_length=1)]
@@ -58,7 +58,9 @@
     name: Name
     share: Share
     cores: AtLeastOne
-    speed: Annotated[tuple[Positive, ...], Field(min_length=2, max_length=2)]  # least and most, of a core
+    speed: Annotated[
+        tuple[Positive, ...], Field(min_length=2, max_length=2)
+    ]  # range of the speed of a core: minimum and maximum
 
 
 class Servers(ScenarioModel):
@@ -66,26 +68,26 @@
 
     count: Annotated[int, Field(ge=1, le=64_000)]
     kinds: Annotated[tuple[ServerKind, ...], Field(min_length=1)]
-    queue_per_core: Count = 400  # requests that may wait
+    queue_per_core: Count = 400  # longest queue of waiting requests
     cell_size: AtLeastOne = 4
     rack_size: AtLeastOne = 40
 
 
 class ColdStart(ScenarioModel):
-    """How a server warms up, and when it falls over meanwhile."""
+    """How a server warms up after its start, and which overload makes it fail meanwhile."""
 
-    from_share: Annotated[float, Field(gt=0, le=1)]  # of its capacity, at its start
+    from_share: Annotated[float, Field(gt=0, le=1)]  # share of its capacity at its start
     warm_s: Positive
-    overload_multiple: Positive  # of its present capacity
+    overload_multiple: Positive  # of its capacity at that time
     overload_window_s: Positive
 
 
 class Balancers(ScenarioModel):
-    """How many balancers there are, and which of them are real processes."""
+    """The balancers, some of them real processes and the others hollow."""
 
     total: Annotated[int, Field(ge=1, le=64_000)]
     real: Count  # numbers 0 to real - 1, spread over the zones
-    hollow_workers: Count  # processes that share the others
+    hollow_workers: Count  # processes that share the hollow balancers
     cores: Positive = 1.0
     memory_mb: Positive = 192.0
     sockets: AtLeastOne = 1024
@@ -97,22 +99,22 @@
     name: Name
     share: Share
     work_ms: Positive  # mean processor time on a core of speed 1
-    work_cv: NonNegative = 1.0  # standard deviation over mean; lognormal
+    work_cv: NonNegative = 1.0  # coefficient of variation; the distribution is lognormal
     aim_ms: Positive
     deadline_ms: Positive
     worth: Positive
     idempotency: Literal["safe", "keyed", "unsafe"]
     scope: Literal["all", "zone", "cell"] = "all"
-    window_ms: NonNegative = 0.0  # for which servers drop the repeats of a keyed request
+    window_ms: NonNegative = 0.0  # how long servers drop repeats of a keyed request
 
 
 class Tenants(ScenarioModel):
-    """Tenants by a Zipf law: the share of the tenant at rank k is proportional to 1 / k ** exponent."""
+    """Tenants by Zipf's law: the share of the tenant at rank k is proportional to 1 / k ** exponent."""
 
     count: AtLeastOne
     zipf_exponent: NonNegative
-    quota_factor: Positive = 1.2  # a tenant's quota over its mean rate
-    in_settings: Count | None = None  # how many, by rank, the settings name; None: all
+    quota_factor: Positive = 1.2  # a tenant's quota as a multiple of its mean rate
+    in_settings: Count | None = None  # how many tenants, by rank, the settings name; None: all
     over_share_worth: Share = 0.2
 
 
@@ -120,14 +122,14 @@
     """How clients behave."""
 
     retries: Count
-    try_share: Annotated[float, Field(gt=0, le=1)]  # of the deadline, that one try may take
+    try_share: Annotated[float, Field(gt=0, le=1)]  # of the deadline: timeout of one try
     backoff_ms: NonNegative
-    honour_retry_after: Share  # of the clients
-    leaving_share: Share = 0.0  # of the requests, whose client goes away before its answer
+    honour_retry_after: Share  # share of the clients that respect Retry-After
+    leaving_share: Share = 0.0  # share of the requests whose client disconnects before the answer
 
 
 class Network(ScenarioModel):
-    """One-way delays."""
+    """One-way network delays."""
 
     same_zone_ms: NonNegative
     cross_zone_ms: NonNegative
@@ -135,33 +137,33 @@
 
 
 class DiscoveryService(ScenarioModel):
-    """How late discovery tells of a change."""
+    """How long discovery takes to publish a change."""
 
-    lag_s: NonNegative  # from a planned change until the replica of its region has it
+    lag_s: NonNegative  # from a planned change to its arrival at the replica of its region
     cross_region_lag_s: NonNegative  # in addition, for the other regions
-    failure_notice_s: NonNegative  # in addition, until a server that vanished is noticed
-    spread_s: NonNegative  # in addition, for each agent: drawn once, from 0 to this
-    period_s: Positive  # changes are collected for this long
+    failure_notice_s: NonNegative  # in addition, until the disappearance of a server is noticed
+    spread_s: NonNegative  # maximal delay in addition; each agent draws its own once, from 0 to this
+    period_s: Positive  # changes within this time are published together
 
 
 class RandomFailures(ScenarioModel):
-    """Rates for the whole fleet and a real day; the scenario's compression multiplies them."""
+    """Rates per real day for the whole fleet; the scenario's time compression multiplies them."""
 
     machine_failures_per_day: NonNegative = 0.0
-    restarts_per_day: NonNegative = 0.0  # planned, with a drain
-    replaced_share: Share = 0.5  # of the restarts, that bring a new machine
+    restarts_per_day: NonNegative = 0.0  # planned restarts, with a drain
+    replaced_share: Share = 0.5  # share of the restarts that bring a new machine
     drain_s: NonNegative = 3.0
     down_s: NonNegative = 3.0  # from a planned stop until the cold start
     repair_s: NonNegative = 30.0  # from a machine failure until its replacement starts
 
 
 class Scenario(ScenarioModel):
-    """Everything that a run is made from, but for the seed given to it."""
+    """Everything that determines a run, except for a seed given on the command line."""
 
     name: Name
     seed: Count
     duration_s: Positive
-    time_compression: Positive = 1.0  # random failures of so many seconds happen in one
+    time_compression: Positive = 1.0  # random failures of so many seconds happen within one second
     requests_per_s: NonNegative
     regions: Annotated[tuple[Region, ...], Field(min_length=1)]
     servers: Servers
@@ -176,30 +178,30 @@
     events: tuple[AnyScriptedEvent, ...] = ()
 
     def zones(self) -> tuple[Zone, ...]:
-        """All zones in the order of the file; a zone's number is its place here."""
+        """All zones in the order of the file; a zone's number is its index here."""
         return tuple(zone for region in self.regions for zone in region.zones)
 
     def servers_per_zone(self) -> list[int]:
-        """How many servers each zone has, in the order of `zones`."""
+        """Number of servers of each zone, in the order of `zones`."""
         return apportion(self.servers.count, [zone.server_share for zone in self.zones()])
 
     def mean_work_s(self) -> float:
         """Mean processor time of a request, on a core of speed 1."""
-        return sum(klass.share * klass.work_ms for klass in self.classes) / 1e3
+        return sum(request_class.share * request_class.work_ms for request_class in self.classes) / 1e3
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
-    """What is wrong, and at which key."""
+class ScenarioProblem:
+    """What is invalid in a scenario, and at which key."""
 
     key: str
     text: str
 
 
 def load_scenario(path: str | Path) -> Scenario:
-    """Read and check a scenario file; BadInputError if it cannot be used."""
+    """Load and validate a scenario file; raises BadInputError if it is invalid."""
     try:
-        raw = tomllib.loads(Path(path).read_text(encoding="utf-8"))
+        values = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
         raise BadInputError(f"{path}: cannot be read: {error.strerror or error}") from None
     except UnicodeDecodeError:
@@ -207,13 +209,14 @@
     except tomllib.TOMLDecodeError as error:
         raise BadInputError(f"{path}: is not TOML: {_one_line(str(error))}") from None
     try:
-        # As JSON, so that the strict types take arrays for tuples; dates become text and are refused.
-        scenario = Scenario.model_validate_json(json.dumps(raw, default=str))
+        # Validated as JSON, as the strict types then accept arrays for tuples. Dates become strings, which
+        # are rejected.
+        scenario = Scenario.model_validate_json(json.dumps(values, default=str))
     except ValidationError as error:
-        fault = _first_fault(error)
-        raise BadInputError(f"{path}: {fault.key}: {fault.text}") from None
-    for fault in _faults_between_keys(scenario):
-        raise BadInputError(f"{path}: {fault.key}: {fault.text}")
+        problem = _first_validation_problem(error)
+        raise BadInputError(f"{path}: {problem.key}: {problem.text}") from None
+    for problem in _find_problems(scenario):
+        raise BadInputError(f"{path}: {problem.key}: {problem.text}")
     return scenario
 
 
@@ -221,95 +224,101 @@
     return " ".join(text.split())
 
 
-def _first_fault(error: ValidationError) -> Fault:
+def _first_validation_problem(error: ValidationError) -> ScenarioProblem:
     first = error.errors()[0]
     location = list(first["loc"])
     if len(location) > 2 and location[0] == "events":
-        del location[2]  # the union's tag, which is no key
+        del location[2]  # the tag of the union, which is not a key of the file
     key = ".".join(str(part) for part in location)
-    return Fault(key or "file", _one_line(first["msg"]))
+    return ScenarioProblem(key or "file", _one_line(first["msg"]))
 
 
-def _faults_between_keys(scenario: Scenario) -> Iterator[Fault]:
-    """What no single key shows: shares, names that are declared twice or not at all, events out of time."""
-    yield from _share_faults(scenario)
-    yield from _name_faults(scenario)
-    yield from _size_faults(scenario)
+def _find_problems(scenario: Scenario) -> Iterator[ScenarioProblem]:
+    """Problems between keys: sums of shares, duplicate and undeclared names, sizes, times of events."""
+    yield from _find_share_problems(scenario)
+    yield from _find_name_problems(scenario)
+    yield from _find_size_problems(scenario)
     for number in range(len(scenario.events)):
-        yield from _event_faults(scenario, number)
+        yield from _find_event_problems(scenario, number)
 
 
-def _share_faults(scenario: Scenario) -> Iterator[Fault]:
+def _find_share_problems(scenario: Scenario) -> Iterator[ScenarioProblem]:
     zones = scenario.zones()
-    sums = {
+    sums_by_key = {
         "regions.zones.server_share": math.fsum(zone.server_share for zone in zones),
         "regions.zones.traffic_share": math.fsum(zone.traffic_share for zone in zones),
         "servers.kinds.share": math.fsum(kind.share for kind in scenario.servers.kinds),
-        "classes.share": math.fsum(klass.share for klass in scenario.classes),
+        "classes.share": math.fsum(request_class.share for request_class in scenario.classes),
     }
-    for key, total in sums.items():
+    for key, total in sums_by_key.items():
         if abs(total - 1) > SHARE_TOLERANCE:
-            yield Fault(key, f"the shares add up to {total:g}, not to 1")
+            yield ScenarioProblem(key, f"the shares add up to {total:g}, not to 1")
 
 
-def _name_faults(scenario: Scenario) -> Iterator[Fault]:
-    names = {
+def _find_name_problems(scenario: Scenario) -> Iterator[ScenarioProblem]:
+    names_by_key = {
         "regions.name": [region.name for region in scenario.regions],
         "regions.zones.name": [zone.name for zone in scenario.zones()],
         "servers.kinds.name": [kind.name for kind in scenario.servers.kinds],
-        "classes.name": [klass.name for klass in scenario.classes],
+        "classes.name": [request_class.name for request_class in scenario.classes],
     }
-    for key, used in names.items():
-        for name in used:
-            if used.count(name) > 1:
-                yield Fault(key, f"{name!r} is declared twice")
+    for key, names_of_key in names_by_key.items():
+        for name in names_of_key:
+            if names_of_key.count(name) > 1:
+                yield ScenarioProblem(key, f"{name!r} is declared twice")
 
 
-def _size_faults(scenario: Scenario) -> Iterator[Fault]:
+def _find_size_problems(scenario: Scenario) -> Iterator[ScenarioProblem]:
     balancers = scenario.balancers
     if balancers.real > balancers.total:
-        yield Fault("balancers.real", f"{balancers.real} is more than balancers.total, {balancers.total}")
+        yield ScenarioProblem(
+            "balancers.real", f"{balancers.real} is more than balancers.total, {balancers.total}"
+        )
     if balancers.real < balancers.total and not balancers.hollow_workers:
-        yield Fault("balancers.hollow_workers", "is 0, but not all balancers are real")
+        yield ScenarioProblem("balancers.hollow_workers", "is 0, but not all balancers are real")
     if (scenario.tenants.in_settings or 0) > scenario.tenants.count:
-        yield Fault("tenants.in_settings", f"is more than tenants.count, {scenario.tenants.count}")
+        yield ScenarioProblem("tenants.in_settings", f"is more than tenants.count, {scenario.tenants.count}")
     for number, kind in enumerate(scenario.servers.kinds):
         if kind.speed[0] > kind.speed[1]:
-            yield Fault(f"servers.kinds.{number}.speed", "the least is greater than the most")
-    for number, klass in enumerate(scenario.classes):
-        if klass.aim_ms > klass.deadline_ms:
-            yield Fault(f"classes.{number}.aim_ms", "is longer than deadline_ms")
+            yield ScenarioProblem(f"servers.kinds.{number}.speed", "the minimum is greater than the maximum")
+    for number, request_class in enumerate(scenario.classes):
+        if request_class.aim_ms > request_class.deadline_ms:
+            yield ScenarioProblem(f"classes.{number}.aim_ms", "is longer than deadline_ms")
 
 
-def _event_faults(scenario: Scenario, number: int) -> Iterator[Fault]:
+def _find_event_problems(scenario: Scenario, number: int) -> Iterator[ScenarioProblem]:
     event, key = scenario.events[number], f"events.{number}"
     if event.at_s >= scenario.duration_s:
-        yield Fault(f"{key}.at_s", f"{event.at_s:g} is after the end, {scenario.duration_s:g}")
+        yield ScenarioProblem(
+            f"{key}.at_s", f"{event.at_s:g} is not before the scenario's end, {scenario.duration_s:g}"
+        )
     elif event.ends_at_s() > scenario.duration_s:
-        yield Fault(key, f"lasts until {event.ends_at_s():g}, after the end, {scenario.duration_s:g}")
-    yield from _place_faults(scenario, event, key)
+        yield ScenarioProblem(
+            key, f"lasts until {event.ends_at_s():g}, after the scenario's end, {scenario.duration_s:g}"
+        )
+    yield from _find_place_problems(scenario, event, key)
     if isinstance(event, DrainWave) and event.servers > scenario.servers.count:
-        yield Fault(f"{key}.servers", f"is more than servers.count, {scenario.servers.count}")
+        yield ScenarioProblem(f"{key}.servers", f"is more than servers.count, {scenario.servers.count}")
     if isinstance(event, KillRealBalancers) and event.count > scenario.balancers.real:
-        yield Fault(f"{key}.count", f"is more than balancers.real, {scenario.balancers.real}")
+        yield ScenarioProblem(f"{key}.count", f"is more than balancers.real, {scenario.balancers.real}")
 
 
-def _place_faults(scenario: Scenario, event: AnyScriptedEvent, key: str) -> Iterator[Fault]:
+def _find_place_problems(scenario: Scenario, event: AnyScriptedEvent, key: str) -> Iterator[ScenarioProblem]:
     zones = [zone.name for zone in scenario.zones()]
     regions = [region.name for region in scenario.regions]
     zone, region = getattr(event, "zone", None), getattr(event, "region", None)
     if zone is not None and zone not in zones:
-        yield Fault(f"{key}.zone", f"{zone!r} is not declared")
+        yield ScenarioProblem(f"{key}.zone", f"{zone!r} is not declared")
         return
     if region is not None and region not in regions:
-        yield Fault(f"{key}.region", f"{region!r} is not declared")
+        yield ScenarioProblem(f"{key}.region", f"{region!r} is not declared")
     if isinstance(event, RegionSplit):
         for name in event.regions:
             if name not in regions:
-                yield Fault(f"{key}.regions", f"{name!r} is not declared")
+                yield ScenarioProblem(f"{key}.regions", f"{name!r} is not declared")
         if event.regions[0] == event.regions[1]:
-            yield Fault(f"{key}.regions", "a region cannot be split from itself")
+            yield ScenarioProblem(f"{key}.regions", "a region cannot be split from itself")
     if isinstance(event, RackFailure):
         racks = -(-scenario.servers_per_zone()[zones.index(event.zone)] // scenario.servers.rack_size)
         if (event.rack or 0) >= racks:
-            yield Fault(f"{key}.rack", f"{event.zone!r} has racks 0 to {racks - 1} only")
+            yield ScenarioProblem(f"{key}.rack", f"{event.zone!r} has racks 0 to {racks - 1} only")
--- a/emulator/fleet/scenario_events.py
+++ b/emulator/fleet/scenario_events.py
@@ -1,4 +1,4 @@
-"""The scripted events of a scenario file, as a union that is told apart by `kind`."""
+"""The scripted events of a scenario file, a union that is discriminated by `kind`."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ScenarioModel(BaseModel):
-    """Base of everything in a scenario file: unknown keys, wrong types and non-finite numbers are faults."""
+    """Base of the models of a scenario file; rejects unknown keys, wrong types and non-finite numbers."""
 
     model_config = ConfigDict(frozen=True, extra="forbid", strict=True, allow_inf_nan=False)
 
@@ -25,17 +25,17 @@
     at_s: NonNegative
 
     def ends_at_s(self) -> float:
-        """When its last effect begins or ends, in seconds from the start."""
+        """Time at which its last effect begins or ends, in seconds from the start."""
         return self.at_s
 
 
 class LastingEvent(ScriptedEvent):
-    """An event that is undone after some time."""
+    """An event whose effect ends after some time."""
 
     duration_s: Positive
 
     def ends_at_s(self) -> float:
-        """When it is undone."""
+        """Time at which its effect ends."""
         return self.at_s + self.duration_s
 
 
@@ -44,44 +44,44 @@
 
     kind: Literal["drain_wave"]
     servers: AtLeastOne
-    group: AtLeastOne  # servers that are drained together
-    every_s: Positive  # from one group to the next
+    group: AtLeastOne  # number of servers that are drained together
+    every_s: Positive  # time between the starts of two groups
     drain_s: NonNegative  # from the drain until the process stops
     down_s: NonNegative  # from the stop until the cold start
-    replace: bool = False  # a new machine takes the place: a new instance id
+    replace: bool = False  # by new machines, which have new instance ids
     zone: str | None = None  # None: in all zones
 
     def ends_at_s(self) -> float:
-        """When the last group starts again."""
+        """Time at which the last group starts again."""
         groups = -(-self.servers // self.group)
         return self.at_s + (groups - 1) * self.every_s + self.drain_s + self.down_s
 
 
 class RackFailure(LastingEvent):
-    """All servers behind one switch vanish without a word and start cold when it is repaired."""
+    """All servers of a rack become unreachable without closing connections, and start cold at its end."""
 
     kind: Literal["rack_failure"]
     zone: str
-    rack: Count | None = None  # counted within the zone; None: one is drawn
+    rack: Count | None = None  # index within the zone; None: a random one
 
 
 class ZoneFailure(LastingEvent):
-    """All servers of a zone vanish and start cold when it returns; its balancers die with it."""
+    """All servers of a zone become unreachable, and start cold at its end; its balancers are killed."""
 
     kind: Literal["zone_failure"]
     zone: str
-    balancers: bool = True  # False: the zone's balancers stay up
+    balancers: bool = True  # False: the zone's balancers keep running
 
 
 class RegionSplit(LastingEvent):
-    """Two regions can't reach each other; each one's discovery hears nothing of the other's changes."""
+    """Two regions cannot reach each other; discovery of each misses the changes of the other."""
 
     kind: Literal["region_split"]
     regions: Annotated[tuple[str, ...], Field(min_length=2, max_length=2)]
 
 
 class Slowdown(LastingEvent):
-    """A part of the servers works slower by a factor."""
+    """A share of the servers is slower by a factor."""
 
     kind: Literal["slowdown"]
     share: Share
@@ -90,7 +90,7 @@
 
 
 class Hang(LastingEvent):
-    """A part of the servers takes requests and answers nothing."""
+    """A share of the servers accepts requests and does not respond."""
 
     kind: Literal["hang"]
     share: Share
@@ -98,37 +98,37 @@
 
 
 class DiscoveryOutage(LastingEvent):
-    """Discovery's agents are silent; they catch up when it is over."""
+    """Discovery's agents do not respond; they publish the missed changes at its end."""
 
     kind: Literal["discovery_outage"]
-    region: str | None = None  # None: everywhere
+    region: str | None = None  # None: in all regions
 
 
 class SilentWatches(LastingEvent):
-    """Held calls of a part of the balancers get no answer; calls that are not held do."""
+    """Long polls of a share of the balancers get no response; their other calls do."""
 
     kind: Literal["silent_watches"]
     share: Share
 
 
 class ListChanges(LastingEvent):
-    """One change of the list every few seconds: some servers drain, those drained before start again."""
+    """Periodic list changes: with each, some servers drain and those drained before start again."""
 
     kind: Literal["list_changes"]
     every_s: Positive
-    servers: AtLeastOne  # that drain with each change
+    servers: AtLeastOne  # number of servers that drain with each change
 
 
 class RestartAllBalancers(ScriptedEvent):
-    """Every balancer is restarted."""
+    """All balancers are restarted."""
 
     kind: Literal["restart_all_balancers"]
-    over_s: NonNegative = 0.0  # stops are spread evenly over this
-    down_s: NonNegative = 0.5  # from a stop until the start
+    over_s: NonNegative = 0.0  # time over which the stops are spread evenly
+    down_s: NonNegative = 0.5  # from a stop until the next start
     graceful: bool = False  # SIGTERM instead of SIGKILL
 
     def ends_at_s(self) -> float:
-        """When the last one starts."""
+        """Time at which the last one starts again."""
         return self.at_s + self.over_s + self.down_s
 
 
@@ -140,7 +140,7 @@
     down_s: NonNegative = 1.0
 
     def ends_at_s(self) -> float:
-        """When they start again."""
+        """Time at which they start again."""
         return self.at_s + self.down_s
 
 
--- a/emulator/fleet/timeline.py
+++ b/emulator/fleet/timeline.py
@@ -1,6 +1,6 @@
-"""The events of a run in order of time, drawn from a scenario and a seed.
+"""The events of a run in order of time, derived from a scenario and a seed.
 
-Every process of a run builds the same timeline for itself, so that no event is sent between processes.
+Every process of a run builds the same timeline itself, so that no events are sent between processes.
 """
 
 from __future__ import annotations
@@ -15,62 +15,63 @@
 from emulator.fleet.layout import Layout, build_layout
 from emulator.fleet.scenario import SECONDS_PER_DAY, Scenario
 
-DRAWS = 50  # tries to find one server that nothing else happens to at the time
-MANY = 20  # a draw of more than one in so many looks at all candidates instead
+MAX_DRAWS_PER_SERVER = 50  # of a random server, until one is found that no other event concerns then
+# Draws of more than one in so many candidates choose among all free candidates instead.
+CANDIDATES_PER_DRAWN_SERVER = 20
 
 
 class Event(msgspec.Struct, frozen=True, tag=True):
-    """Something that happens to members of the fleet, in seconds from the start."""
+    """An event that concerns members of the fleet; its time is in seconds from the start."""
 
     at_s: float
 
 
 class ServersDrained(Event, frozen=True):
-    """They finish what they have and want nothing new; discovery lists them as leaving."""
+    """The servers finish open requests and should get no new ones; discovery lists them as leaving."""
 
     servers: tuple[int, ...]
 
 
 class ServersStopped(Event, frozen=True):
-    """The processes end as planned: connections are reset, new ones are refused."""
+    """The server processes stop as planned: connections are reset, new ones are refused."""
 
     servers: tuple[int, ...]
 
 
 class ServersVanished(Event, frozen=True):
-    """The machines are gone without a word: connections stay open and silent."""
+    """The machines become unreachable: connections stay open, without any response."""
 
     servers: tuple[int, ...]
 
 
 class ServersStarted(Event, frozen=True):
-    """They start cold."""
+    """The servers start cold."""
 
     servers: tuple[int, ...]
-    replaced: bool  # on a new machine, with a new instance id
+    replaced: bool  # on new machines, with new instance ids
 
 
 class ServersSlowed(Event, frozen=True):
-    """Their cores work slower by the factor."""
+    """The cores of the servers become slower by the factor."""
 
     servers: tuple[int, ...]
     factor: float
 
 
 class ServersHung(Event, frozen=True):
-    """They take requests and answer nothing."""
+    """The servers accept requests and do not respond."""
 
     servers: tuple[int, ...]
 
 
 class ServersRecovered(Event, frozen=True):
-    """Their slowdown or hang is over."""
+    """The slowdown or hang of the servers is over."""
 
     servers: tuple[int, ...]
 
 
 class RegionsSplit(Event, frozen=True):
-    """The two regions can't reach each other any more."""
+    """The two regions can no longer reach each other."""
 
     regions: tuple[int, int]
 
@@ -82,45 +83,45 @@
 
 
 class DiscoverySilenced(Event, frozen=True):
-    """Discovery's agents in these regions answer no call."""
+    """Discovery's agents in these regions stop responding."""
 
     regions: tuple[int, ...]
 
 
 class DiscoveryReturned(Event, frozen=True):
-    """Discovery's agents in these regions answer again."""
+    """Discovery's agents in these regions respond again."""
 
     regions: tuple[int, ...]
 
 
 class WatchesSilenced(Event, frozen=True):
-    """Held calls of these balancers get no answer."""
+    """Long polls of these balancers get no response."""
 
     balancers: tuple[int, ...]
 
 
 class WatchesReturned(Event, frozen=True):
-    """Held calls of these balancers get answers again."""
+    """Long polls of these balancers get responses again."""
 
     balancers: tuple[int, ...]
 
 
 class BalancersStopped(Event, frozen=True):
-    """These balancers end: by SIGTERM if gracefully, else by SIGKILL."""
+    """These balancers are stopped, by SIGTERM if gracefully, else by SIGKILL."""
 
     balancers: tuple[int, ...]
     graceful: bool
 
 
 class BalancersStarted(Event, frozen=True):
-    """These balancers start from nothing but their known list."""
+    """These balancers start without any state other than their known list."""
 
     balancers: tuple[int, ...]
 
 
 def build_timeline(scenario: Scenario, seed: int) -> tuple[Event, ...]:
-    """All events up to the scenario's end, sorted by time; the same for the same scenario and seed."""
-    return _Builder(scenario, build_layout(scenario, seed), seed).build()
+    """All events up to the scenario's end, sorted by time; equal for equal scenarios and seeds."""
+    return _TimelineBuilder(scenario, build_layout(scenario, seed), seed).build()
 
 
 def timeline_digest(timeline: Iterable[Event]) -> str:
@@ -129,7 +130,7 @@
 
 
 class _Occupancy:
-    """When something happens to a server, so that random events don't fall on one another."""
+    """Times at which events concern each server, so that drawn servers have no overlapping events."""
 
     def __init__(self) -> None:
         self._spans: dict[int, list[tuple[float, float]]] = {}
@@ -139,10 +140,12 @@
             self._spans.setdefault(server, []).append((begin, end))
 
     def is_free(self, server: int, begin: float, end: float) -> bool:
-        return all(end < taken or begin > left for taken, left in self._spans.get(server, ()))
+        return all(
+            end < taken_from or begin > taken_until for taken_from, taken_until in self._spans.get(server, ())
+        )
 
 
-class _Builder:
+class _TimelineBuilder:
     """Collects the events of one timeline."""
 
     def __init__(self, scenario: Scenario, layout: Layout, seed: int) -> None:
@@ -156,14 +159,14 @@
 
     def build(self) -> tuple[Event, ...]:
         numbered = list(enumerate(self.scenario.events))
-        # Failures of a named zone or rack come first: what is drawn afterwards keeps clear of them.
+        # Failures of zones and racks are added first, so that later draws avoid the servers concerned.
         numbered.sort(key=lambda item: not isinstance(item[1], scripted.ZoneFailure | scripted.RackFailure))
         for number, event in numbered:
             self._add_scripted(event, self._random(f"event {number}"))
         self._add_machine_failures(self._random("machine failures"))
         self._add_restarts(self._random("restarts"))
-        inside = [event for event in self.events if event.at_s <= self.scenario.duration_s]
-        return tuple(sorted(inside, key=lambda event: event.at_s))  # stable: as added where times are equal
+        within_run = [event for event in self.events if event.at_s <= self.scenario.duration_s]
+        return tuple(sorted(within_run, key=lambda event: event.at_s))  # stable for equal times
 
     def _random(self, label: str) -> Random:
         return Random(f"{self.seed}/{label}")
@@ -195,10 +198,10 @@
 
     def _add_drain_wave(self, event: scripted.DrainWave, random: Random) -> None:
         drawn = self._draw_servers(random, event.servers, event.zone, event.at_s, event.ends_at_s())
-        for place, first in enumerate(range(0, len(drawn), event.group)):
+        for group_index, first in enumerate(range(0, len(drawn), event.group)):
             group = tuple(sorted(drawn[first : first + event.group]))
             self._add_restart(
-                event.at_s + place * event.every_s, group, event.drain_s, event.down_s, event.replace
+                event.at_s + group_index * event.every_s, group, event.drain_s, event.down_s, event.replace
             )
 
     def _add_rack_failure(self, event: scripted.RackFailure, random: Random) -> None:
@@ -229,8 +232,8 @@
         self.events.append(ServersRecovered(event.ends_at_s(), servers))
 
     def _add_discovery_outage(self, event: scripted.DiscoveryOutage) -> None:
-        everywhere = tuple(range(len(self.layout.region_names)))
-        regions = everywhere if event.region is None else (self.regions[event.region],)
+        all_regions = tuple(range(len(self.layout.region_names)))
+        regions = all_regions if event.region is None else (self.regions[event.region],)
         self.events.append(DiscoverySilenced(event.at_s, regions))
         self.events.append(DiscoveryReturned(event.ends_at_s(), regions))
 
@@ -244,15 +247,15 @@
         changes = max(1, int(event.duration_s / event.every_s))
         for change in range(changes):
             at_s = event.at_s + change * event.every_s
-            back_s = min(at_s + event.every_s, event.ends_at_s())
-            drawn = self._draw_servers(random, event.servers, None, at_s, back_s)
-            self._add_restart(at_s, tuple(sorted(drawn)), back_s - at_s, 0.0, replaced=False)
+            return_s = min(at_s + event.every_s, event.ends_at_s())
+            drawn = self._draw_servers(random, event.servers, None, at_s, return_s)
+            self._add_restart(at_s, tuple(sorted(drawn)), return_s - at_s, 0.0, replaced=False)
 
     def _add_restart_of_all(self, event: scripted.RestartAllBalancers) -> None:
         total = len(self.layout.balancer_zones)
         if not event.over_s:
-            everyone = tuple(range(total))
-            self._add_balancer_restart(everyone, event.at_s, event.ends_at_s(), event.graceful)
+            all_balancers = tuple(range(total))
+            self._add_balancer_restart(all_balancers, event.at_s, event.ends_at_s(), event.graceful)
             return
         for balancer in range(total):
             stop_s = event.at_s + event.over_s * balancer / total
@@ -265,7 +268,7 @@
     # ---- random events ----
 
     def _times(self, random: Random, per_day: float) -> Iterator[float]:
-        """Times of a Poisson process at a rate for a real day, compressed."""
+        """Times of a Poisson process with a rate per real day, at the scenario's time compression."""
         rate = per_day * self.scenario.time_compression / SECONDS_PER_DAY
         at_s = random.expovariate(rate) if rate else self.scenario.duration_s
         while at_s < self.scenario.duration_s:
@@ -287,7 +290,7 @@
             servers = tuple(self._draw_servers(random, 1, None, at_s, end_s))
             self._add_restart(at_s, servers, failures.drain_s, failures.down_s, replaced)
 
-    # ---- parts that several events have in common ----
+    # ---- shared by several events ----
 
     def _candidates(self, zone: str | None) -> Sequence[int]:
         if zone is None:
@@ -297,11 +300,11 @@
     def _draw_servers(
         self, random: Random, count: int, zone: str | None, begin_s: float, end_s: float
     ) -> list[int]:
-        """Up to `count` servers to which nothing else happens within the time; reserves them."""
+        """Draw and reserve up to `count` servers that no other event concerns within the time."""
         candidates = self._candidates(zone)
         if not candidates:
             return []
-        if count * MANY > len(candidates):
+        if count * CANDIDATES_PER_DRAWN_SERVER > len(candidates):
             free = [server for server in candidates if self.occupancy.is_free(server, begin_s, end_s)]
             drawn = random.sample(free, min(count, len(free)))
         else:
@@ -313,7 +316,7 @@
         self, random: Random, count: int, candidates: Sequence[int], begin_s: float, end_s: float
     ) -> list[int]:
         drawn: list[int] = []
-        for _ in range(DRAWS * count):
+        for _ in range(MAX_DRAWS_PER_SERVER * count):
             server = random.choice(candidates)
             if server not in drawn and self.occupancy.is_free(server, begin_s, end_s):
                 drawn.append(server)
