--- a/emulator/slopes/balancer_process.py
+++ b/emulator/slopes/balancer_process.py
@@ -14,17 +14,17 @@
 
 from emulator.deployment import BALANCER_LIMITS, start_balancer
 from emulator.free_ports import find_free_ports
-from emulator.slopes.client import Address, Pinger
+from emulator.slopes.client import Address, ReadinessProbe
 from emulator.slopes.standins import LOCALHOST
 
-READY_SECONDS = 40.0  # until a balancer has to be ready
+READY_TIMEOUT_S = 40.0  # until a balancer has to be ready
 
 
 class RigError(Exception):
     """The balancer cannot be measured; its text is one line for people."""
 
 
-def processor_seconds(process: psutil.Process) -> float:
+def process_cpu_seconds(process: psutil.Process) -> float:
     """Processor time of all threads: from the scheduler in nanoseconds, else in steps of 10 ms."""
     try:
         threads = Path(f"/proc/{process.pid}/task").glob("*/schedstat")
@@ -40,36 +40,36 @@
 class BalancerProcess:
     """The real program, as the deployment runs it."""
 
-    def __init__(self, process: asyncio.subprocess.Process, address: Address, log: Path) -> None:
+    def __init__(self, process: asyncio.subprocess.Process, address: Address, log_path: Path) -> None:
         self.process = process
         self.address = address
-        self.log = log
-        self.handle = psutil.Process(process.pid)
+        self.log_path = log_path
+        self.psutil_process = psutil.Process(process.pid)
 
     def _tree(self) -> list[psutil.Process]:
-        return [self.handle, *self.handle.children(recursive=True)]
+        return [self.psutil_process, *self.psutil_process.children(recursive=True)]
 
     def cpu_seconds(self) -> float:
         """Processor time of the program since its start, with all processes that it started."""
-        return sum(processor_seconds(one) for one in self._tree())
+        return sum(process_cpu_seconds(one) for one in self._tree())
 
-    def resident(self) -> int:
+    def resident_bytes(self) -> int:
         """Bytes resident, of all its processes."""
         return sum(int(one.memory_info().rss) for one in self._tree())
 
-    def log_size(self) -> int:
+    def log_bytes(self) -> int:
         """Bytes that it has written to standard output and error."""
-        return self.log.stat().st_size
+        return self.log_path.stat().st_size
 
     def _last_line(self) -> str:
-        lines = self.log.read_text(errors="replace").splitlines()
+        lines = self.log_path.read_text(errors="replace").splitlines()
         return lines[-1] if lines else "nothing in its log"
 
     async def wait_ready(self) -> None:
         """Until `/ready` answers 200."""
-        pinger = Pinger(self.address)
-        async with asyncio.timeout(READY_SECONDS):
-            while await pinger.ping() != 200:
+        probe = ReadinessProbe(self.address)
+        async with asyncio.timeout(READY_TIMEOUT_S):
+            while await probe.probe() != 200:
                 if self.process.returncode is not None:
                     raise RigError(
                         f"the balancer ended with code {self.process.returncode}: {self._last_line()}"
--- a/emulator/slopes/bars.py
+++ b/emulator/slopes/bars.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from emulator.slopes.report import Row, shown
+from emulator.slopes.report import Row, format_value
 from emulator.slopes.roles import Figure
-from emulator.slopes.sizes import SMALL_CUSTOMER, TARGET, Axis, Scale, points_of
+from emulator.slopes.sizes import SMALL_DEPLOYMENT, TARGET, Axis, Scale, axis_points
 
-SMALL_FLEET = points_of(Axis.FLEET)[0].scale  # 100 servers and 100 tenants, all else at the target
+SMALL_FLEET = axis_points(Axis.FLEET)[0].scale  # 100 servers and 100 tenants, all else at the target
 
 
 class Bar(msgspec.Struct, frozen=True):
@@ -21,10 +21,10 @@
     text: str
     limit: float
     reference: Scale | None = None  # the limit is on the ratio to this
-    enough: float | None = None  # a value below this passes whatever its ratio
-    beside: str | None = None  # a measure to show next to it
+    passes_below: float | None = None  # a value below this passes whatever its ratio
+    related_measure: str | None = None  # a measure to show next to it
 
-    def scales(self) -> tuple[Scale, ...]:
+    def required_scales(self) -> tuple[Scale, ...]:
         """What has to be measured for it."""
         return (TARGET,) if self.reference is None else (self.reference, TARGET)
 
@@ -50,7 +50,7 @@
         "under 1 ms at 6,400 servers, or flat: at most 1.5 times that at 100",
         1.5,
         SMALL_FLEET,
-        enough=1.0,
+        passes_below=1.0,
     ),
     Bar("balancer-idle", "idle, share of a core", "at most 2.3 % of a core", 2.3),
     Bar("balancer-idle", "idle, resident memory", "at most 32 MB resident", 32.0),
@@ -65,42 +65,42 @@
         "load, added latency p99",
         "adds at most 6.8 ms for 99 in 100",
         6.8,
-        beside="load, rig without the balancer p99",
+        related_measure="load, rig without the balancer p99",
     ),
     Bar(
         "balancer-load",
         "load, share of a core",
         "at most twice that of 10 servers and 9 tenants",
         2.0,
-        SMALL_CUSTOMER,
+        SMALL_DEPLOYMENT,
     ),
     Bar("first-list", "first list, longest wait for /ready", "holds the loop at most 20 ms", 20.0),
 )
 
-Lookup = Callable[[str, str, Scale], Figure | None]  # role, measure, scale
+FigureLookup = Callable[[str, str, Scale], Figure | None]  # role, measure, scale
 
 
-def judge(bar: Bar, lookup: Lookup) -> Row | None:
+def evaluate_bar(bar: Bar, lookup: FigureLookup) -> Row | None:
     """The bar as a row of its own; None where its scales have not been measured."""
-    found = [lookup(bar.role, bar.measure, scale) for scale in bar.scales()]
+    found = [lookup(bar.role, bar.measure, scale) for scale in bar.required_scales()]
     figures = [figure for figure in found if figure is not None]
     if len(figures) < len(found):
         return None
     value = figures[-1].value
     compared = value if bar.reference is None else value / max(figures[0].value, 1e-9)
-    passed = compared <= bar.limit or (bar.enough is not None and value < bar.enough)
+    passed = compared <= bar.limit or (bar.passes_below is not None and value < bar.passes_below)
     text = bar.text
     if bar.reference is not None:
-        text += f" (ratio {shown(compared)})"
-    beside = bar.beside and lookup(bar.role, bar.beside, TARGET)
-    if beside:
-        text += f" ({beside.measure.removeprefix('load, ')}: {shown(beside.value)} {beside.unit})"
+        text += f" (ratio {format_value(compared)})"
+    related = bar.related_measure and lookup(bar.role, bar.related_measure, TARGET)
+    if related:
+        text += f" ({related.measure.removeprefix('load, ')}: {format_value(related.value)} {related.unit})"
     return Row(
         role=bar.role,
         measure=bar.measure,
         unit=figures[-1].unit,
         axis="bar",
-        sizes=[scale.servers for scale in bar.scales()],
+        sizes=[scale.servers for scale in bar.required_scales()],
         values=[figure.value for figure in figures],
         exponent=None,
         linear=None,
@@ -109,7 +109,7 @@
     )
 
 
-def missed_line(row: Row) -> str:
+def format_missed_bar(row: Row) -> str:
     """One plain line for a missed bar."""
-    values = " and ".join(shown(value) for value in row.values)
+    values = " and ".join(format_value(value) for value in row.values)
     return f"missed: {row.role}: {row.measure}: {values} {row.unit}; bar: {row.bar}"
--- a/emulator/slopes/client.py
+++ b/emulator/slopes/client.py
@@ -12,17 +12,23 @@
 import httptools
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from emulator.slopes.deployment import CLIENT_PATIENCE_MS, class_name, idempotency, quantile, tenant_name
+from emulator.slopes.deployment import (
+    REQUEST_TIMEOUT_MS,
+    class_idempotency,
+    class_name,
+    exponential_quantile,
+    tenant_name,
+)
 from emulator.slopes.sizes import Scale
 
 Address = tuple[str, int]
 
-LONGEST_US = 60_000_000  # that the histogram can tell
+MAX_RECORDED_US = 60_000_000  # that the histogram can tell
 DIGITS = 3
 BODY = b"x" * 200
 SETTLE_SECONDS = 1.5  # after the last request, for its answer to come
-NO_ANSWER = 0  # in place of a status
-Done = Callable[[int, bytes], None]  # status and body
+NO_RESPONSE = 0  # in place of a status
+ResponseCallback = Callable[[int, bytes], None]  # status and body
 
 
 class ClientConnection(asyncio.Protocol):
@@ -32,15 +38,15 @@
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
         self.body = b""
-        self.done: Done | None = None
+        self.done: ResponseCallback | None = None
 
-    def ask(self, message: bytes, done: Done) -> None:
+    def send_request(self, message: bytes, done: ResponseCallback) -> None:
         """Send a request; `done` is called once."""
         assert self.transport is not None
         self.done = done
         self.transport.write(message)
 
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether another request may be sent on it."""
         return self.transport is not None and not self.transport.is_closing() and self.done is None
 
@@ -51,7 +57,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Called by the loop."""
         self.transport = None
-        self._finish(NO_ANSWER)
+        self._finish(NO_RESPONSE)
 
     def data_received(self, data: bytes) -> None:
         """Called by the loop."""
@@ -77,15 +83,15 @@
             done(status, self.body)
 
 
-async def connect(address: Address) -> ClientConnection:
+async def open_connection(address: Address) -> ClientConnection:
     """A new connection."""
     _, connection = await asyncio.get_running_loop().create_connection(ClientConnection, *address)
     return connection
 
 
-def request_message(rid: str, klass: int, tenant: int) -> bytes:
+def build_request(rid: str, klass: int, tenant: int) -> bytes:
     """A client's request as the protocol wants it: the class decides method and key."""
-    kind = idempotency(klass)
+    kind = class_idempotency(klass)
     method, body = ("GET", b"") if kind == "pure" else ("POST", BODY)
     lines = [
         f"{method} /api HTTP/1.1",
@@ -93,7 +99,7 @@
         f"X-Request-Id: {rid}",
         f"X-Class: {class_name(klass)}",
         f"X-Tenant: {tenant_name(tenant)}",
-        f"X-Deadline-Ms: {CLIENT_PATIENCE_MS}",
+        f"X-Deadline-Ms: {REQUEST_TIMEOUT_MS}",
     ]
     if kind == "token":
         lines.append(f"Idempotency-Key: key-{rid}")
@@ -113,17 +119,17 @@
         self.targets = targets
         self.scale = scale
         self.random = Random(seed)
-        self.idle: dict[Address, list[ClientConnection]] = {target: [] for target in targets}
-        self.added = HdrHistogram(1, LONGEST_US, DIGITS)
-        self.statuses: Counter[int] = Counter()
+        self.idle_connections: dict[Address, list[ClientConnection]] = {target: [] for target in targets}
+        self.added_latency = HdrHistogram(1, MAX_RECORDED_US, DIGITS)
+        self.status_counts: Counter[int] = Counter()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.sent = 0
+        self.request_count = 0
 
     def reset(self) -> None:
         """Forget what was recorded, as after a warm-up."""
-        self.added.reset()
-        self.statuses.clear()
-        self.sent = 0
+        self.added_latency.reset()
+        self.status_counts.clear()
+        self.request_count = 0
 
     async def run(self, seconds: float) -> None:
         """Send for so long, then wait a little for the last answers."""
@@ -131,7 +137,7 @@
         end = loop.time() + seconds
         due = loop.time()
         while True:
-            due += quantile(self.random.random(), 1 / self.scale.requests)
+            due += exponential_quantile(self.random.random(), 1 / self.scale.requests)
             if due >= end:
                 return
             await asyncio.sleep(due - loop.time())
@@ -139,47 +145,47 @@
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def settle(self) -> None:
+    async def wait_for_responses(self) -> None:
         """Wait for the answers that are still out; those that do not come are given up."""
         if self.tasks:
             _, late = await asyncio.wait(self.tasks, timeout=SETTLE_SECONDS)
             for task in late:
                 task.cancel()
-                self._record(NO_ANSWER, 0)
+                self._record(NO_RESPONSE, 0)
 
     def close(self) -> None:
         """Close the connections that are idle."""
-        for connection in (one for idle in self.idle.values() for one in idle):
+        for connection in (one for idle in self.idle_connections.values() for one in idle):
             if connection.transport is not None:
                 connection.transport.close()
 
     async def _ask(self) -> None:
         target = self.random.choice(self.targets)
         rid = f"{self.random.getrandbits(64):016x}"
-        message = request_message(
+        message = build_request(
             rid, self.random.randrange(self.scale.services), self.random.randrange(self.scale.tenants)
         )
-        self.sent += 1
+        self.request_count += 1
         began = time.monotonic_ns()
-        idle = self.idle[target]
+        idle = self.idle_connections[target]
         connection = idle.pop() if idle else None
-        if connection is None or not connection.usable():
+        if connection is None or not connection.is_usable():
             try:
-                connection = await connect(target)
+                connection = await open_connection(target)
             except OSError:
-                self._record(NO_ANSWER, 0)
+                self._record(NO_RESPONSE, 0)
                 return
         ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        connection.ask(message, lambda status, body: self._ended(began, ended, status, body))
+        connection.send_request(message, lambda status, body: self._ended(began, ended, status, body))
         await ended
-        if connection.usable():
+        if connection.is_usable():
             idle.append(connection)
 
     def _record(self, status: int, added: int) -> None:
         """Count one request; what is not served counts as the client's whole patience."""
-        self.statuses[status] += 1
-        added_us = added // 1_000 if status == 200 else CLIENT_PATIENCE_MS * 1_000
-        self.added.record_value(max(1, added_us))
+        self.status_counts[status] += 1
+        added_us = added // 1_000 if status == 200 else REQUEST_TIMEOUT_MS * 1_000
+        self.added_latency.record_value(max(1, added_us))
 
     def _ended(self, began: int, ended: asyncio.Future[None], status: int, body: bytes) -> None:
         if ended.cancelled():  # given up and counted already
@@ -192,35 +198,35 @@
 PING_PAUSE = 0.001  # seconds between an answer and the next ping
 
 
-class Pinger:
+class ReadinessProbe:
     """Asks for `/ready` again and again on one connection, and keeps the longest wait for an answer."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
-        self.longest = 0.0  # seconds
+        self.max_wait_s = 0.0  # seconds
         self.connection: ClientConnection | None = None
 
-    async def ping(self) -> int:
+    async def probe(self) -> int:
         """One ping; its status, or NO_ANSWER."""
         loop = asyncio.get_running_loop()
-        if self.connection is None or not self.connection.usable():
+        if self.connection is None or not self.connection.is_usable():
             try:
-                self.connection = await connect(self.address)
+                self.connection = await open_connection(self.address)
             except OSError:
-                return NO_ANSWER
+                return NO_RESPONSE
         status: asyncio.Future[int] = loop.create_future()
         began = loop.time()
-        self.connection.ask(PING, lambda code, _: None if status.done() else status.set_result(code))
+        self.connection.send_request(PING, lambda code, _: None if status.done() else status.set_result(code))
         code = await status
-        self.longest = max(self.longest, time.monotonic() - began)
+        self.max_wait_s = max(self.max_wait_s, time.monotonic() - began)
         return code
 
-    async def run(self, seconds: float) -> float:
+    async def probe_for(self, seconds: float) -> float:
         """Ping for so long; the longest wait within it."""
         loop = asyncio.get_running_loop()
-        self.longest = 0.0
+        self.max_wait_s = 0.0
         end = loop.time() + seconds
         while loop.time() < end:
-            await self.ping()
+            await self.probe()
             await asyncio.sleep(PING_PAUSE)
-        return self.longest
+        return self.max_wait_s
--- a/emulator/slopes/command.py
+++ b/emulator/slopes/command.py
@@ -12,16 +12,16 @@
 from rich.progress import MofNCompleteColumn, Progress, TextColumn, TimeElapsedColumn
 
 from emulator.errors import EXIT_BAR_FAILED, BadInputError
-from emulator.slopes.bars import missed_line
-from emulator.slopes.campaign import ROLES, Campaign, Plan
+from emulator.slopes.bars import format_missed_bar
 from emulator.slopes.report import Row, print_rows, write_rows
-from emulator.slopes.sizes import AXIS_TITLES, BASE, TARGET, Axis
+from emulator.slopes.run import ROLES, MeasurementPlan, MeasurementRun
+from emulator.slopes.sizes import AXIS_DESCRIPTIONS, BASE, TARGET, Axis
 
 EXIT_INTERRUPTED = 130
 DEFAULT_PARENT = Path("emulator-out")
 
 
-class PlainCommand(click.Command):
+class OneLineErrorCommand(click.Command):
     """A command that reports a bad call by one plain line."""
 
     def parse_args(self, ctx: click.Context, args: list[str]) -> list[str]:
@@ -44,11 +44,11 @@
 
 \b
 Roles:
-{_described({role.name: role.about for role in ROLES.values()})}
+{_described({role.name: role.description for role in ROLES.values()})}
 
 \b
 Axes:
-{_described({axis.value: title for axis, title in AXIS_TITLES.items()})}
+{_described({axis.value: description for axis, description in AXIS_DESCRIPTIONS.items()})}
 
 \b
 Base:   {BASE}
@@ -77,29 +77,29 @@
     return folder
 
 
-def _measure_all(campaign: Campaign, console: Console) -> bool:
+def _measure_all(run: MeasurementRun, console: Console) -> bool:
     """Measure all tasks, with a progress bar where a person watches; False if interrupted."""
-    tasks = campaign.tasks()
+    tasks = run.tasks()
     columns = (TextColumn("{task.description}"), MofNCompleteColumn(), TimeElapsedColumn())
     try:
         with Progress(*columns, console=console, disable=not console.is_terminal) as progress:
             shown = progress.add_task("slopes", total=len(tasks))
             for task in tasks:
                 progress.update(shown, description=f"{task.role}, {task.scale.servers} servers")
-                campaign.measure(task)
+                run.measure(task)
                 progress.advance(shown)
     except KeyboardInterrupt:
         return False
     return True
 
 
-def _plot(rows: list[Row], folder: Path) -> None:
-    from emulator.slopes.plots import plot  # only now: bad calls and --help need no matplotlib
+def _save_plots(rows: list[Row], folder: Path) -> None:
+    from emulator.slopes.plots import save_plots  # only now: bad calls and --help need no matplotlib
 
-    plot(rows, folder)
+    save_plots(rows, folder)
 
 
-@click.command(cls=PlainCommand, help=HELP)
+@click.command(cls=OneLineErrorCommand, help=HELP)
 @click.option("--role", "roles", multiple=True, type=click.Choice(list(ROLES)), help="Only this role.")
 @click.option(
     "--axis",
@@ -118,24 +118,24 @@
 )
 def command(**options: Any) -> None:
     """Described by HELP."""
-    plan = Plan(
+    plan = MeasurementPlan(
         roles=tuple(name for name in ROLES if name in options["roles"] or not options["roles"]),
         axes=tuple(Axis(name) for name in options["axes"]),
         quick=options["quick"],
         bars=options["bars"],
         seed=options["seed"],
     )
-    campaign = Campaign(plan)
-    if not campaign.tasks():
+    run = MeasurementRun(plan)
+    if not run.tasks():
         raise BadInputError("none of these roles has any of these axes")
     folder = _folder(options["out"])
-    finished = _measure_all(campaign, Console(stderr=True))
-    rows = campaign.rows()
+    finished = _measure_all(run, Console(stderr=True))
+    rows = run.rows()
     write_rows(rows, folder)
     print_rows(rows, Console())
-    _plot(rows, folder)
+    _save_plots(rows, folder)
     click.echo(f"written to {folder}")
-    complaints = [missed_line(row) for row in rows if row.passed is False] + campaign.failures
+    complaints = [format_missed_bar(row) for row in rows if row.passed is False] + run.failures
     for line in complaints:
         click.echo(line, err=True)
     if not finished:
--- a/emulator/slopes/counting.py
+++ b/emulator/slopes/counting.py
@@ -17,14 +17,14 @@
 _NOT_STATE = (type, ModuleType, FunctionType, CodeType, FrameType)
 
 
-class Held(msgspec.Struct, frozen=True):
+class ReachableObjects(msgspec.Struct, frozen=True):
     """What a structure holds, itself included; what is reached twice counts once."""
 
     objects: int
     size: int  # bytes
 
 
-def held(root: object) -> Held:
+def measure_reachable(root: object) -> ReachableObjects:
     """Objects and bytes reachable from `root`; code, classes and modules are not part of it."""
     seen = {id(root)}
     waiting: list[object] = [root]
@@ -36,19 +36,19 @@
             if id(other) not in seen and not isinstance(other, _NOT_STATE):
                 seen.add(id(other))
                 waiting.append(other)
-    return Held(len(seen), size)
+    return ReachableObjects(len(seen), size)
 
 
-def count_lines(work: Callable[[], object]) -> int:
+def count_executed_lines(work: Callable[[], object]) -> int:
     """Lines of the balancer's own code that `work` executes; a loop's line counts each time round."""
     if sys.version_info >= (3, 12):
-        from emulator.slopes.monitoring import count_lines_monitored
+        from emulator.slopes.monitoring import count_lines_by_monitoring
 
-        return count_lines_monitored(work, BALANCER_FOLDER)
-    return _count_lines_traced(work)
+        return count_lines_by_monitoring(work, BALANCER_FOLDER)
+    return _count_lines_by_tracing(work)
 
 
-def _count_lines_traced(work: Callable[[], object]) -> int:
+def _count_lines_by_tracing(work: Callable[[], object]) -> int:
     lines = 0
 
     def on_line(_: FrameType, event: str, __: Any) -> Any:
--- a/emulator/slopes/deployment.py
+++ b/emulator/slopes/deployment.py
@@ -12,15 +12,15 @@
 from emulator.discovery_schema import Instance, Listing
 from emulator.slopes.sizes import Scale
 
-MILLISECOND = 1_000_000
-SECOND = 1_000 * MILLISECOND
+NS_PER_MS = 1_000_000
+NS_PER_S = 1_000 * NS_PER_MS
 ZONES = ("a", "b", "c")
 MACHINE_TYPES = ("small", "large")
 SERVERS_PER_CELL = 8
-QUOTA_SLACK = 1.5  # tenants' quotas together, as a multiple of the traffic
-CLIENT_PATIENCE_MS = 900
+QUOTA_TRAFFIC_MULTIPLE = 1.5  # tenants' quotas together, as a multiple of the traffic
+REQUEST_TIMEOUT_MS = 900
 _IDEMPOTENCY = ("pure", "token", "side_effect")
-_DEADLINE = 1_000 * MILLISECOND
+_DEADLINE = 1_000 * NS_PER_MS
 
 
 class DiscoveryMode(Enum):
@@ -40,7 +40,7 @@
     return f"tenant-{number}"
 
 
-def idempotency(number: int) -> str:
+def class_idempotency(number: int) -> str:
     """Whether requests of a class may be repeated, in the settings' words."""
     return _IDEMPOTENCY[number % len(_IDEMPOTENCY)]
 
@@ -48,10 +48,10 @@
 def _service(number: int) -> dict[str, Any]:
     return {
         "name": class_name(number),
-        "goalTimeNs": 250 * MILLISECOND,
+        "goalTimeNs": 250 * NS_PER_MS,
         "deadlineNs": _DEADLINE,
         "worth": 1.0 + number % 5,
-        "idempotency": idempotency(number),
+        "idempotency": class_idempotency(number),
         "group": "all",
         "windowNs": _DEADLINE,
         "lateShare": 0.0,
@@ -59,15 +59,17 @@
     }
 
 
-def settings_object(scale: Scale, mode: DiscoveryMode = DiscoveryMode.PUSH, me: int = 0) -> dict[str, Any]:
+def build_settings(
+    scale: Scale, mode: DiscoveryMode = DiscoveryMode.PUSH, balancer_index: int = 0
+) -> dict[str, Any]:
     """The settings object as the deployment words it."""
-    quota = QUOTA_SLACK * scale.requests * scale.balancers / scale.tenants
+    quota = QUOTA_TRAFFIC_MULTIPLE * scale.requests * scale.balancers / scale.tenants
     return {
-        "az": me % len(ZONES),
-        "me": me,
+        "az": balancer_index % len(ZONES),
+        "me": balancer_index,
         "balancers": scale.balancers,
         "discovery": mode.value,
-        "stepNs": 2 * MILLISECOND,
+        "stepNs": 2 * NS_PER_MS,
         "failureDomains": list(ZONES),
         "kinds": list(MACHINE_TYPES),
         "report": {"fields": [], "how": "silent"},
@@ -82,24 +84,24 @@
             "maxAttempts": 3,
             "secondCopies": True,
             "retryAfter": True,
-            "maxRetryAfterNs": 2 * SECOND,
-            "keepaliveNs": 15 * SECOND,
-            "connectTimeoutNs": 120 * MILLISECOND,
+            "maxRetryAfterNs": 2 * NS_PER_S,
+            "keepaliveNs": 15 * NS_PER_S,
+            "connectTimeoutNs": 120 * NS_PER_MS,
         },
         "obligations": {
-            "answerSlackNs": 8 * MILLISECOND,
-            "askEveryNs": 10 * SECOND,
+            "answerSlackNs": 8 * NS_PER_MS,
+            "askEveryNs": 10 * NS_PER_S,
             "coldFrom": 0.36,
-            "coldNs": 8_600 * MILLISECOND,
-            "drainGraceNs": 300 * MILLISECOND,
-            "fallNs": 3 * SECOND,
+            "coldNs": 8_600 * NS_PER_MS,
+            "drainGraceNs": 300 * NS_PER_MS,
+            "fallNs": 3 * NS_PER_S,
             "tipMultiple": 3.0,
         },
         "services": [_service(n) for n in range(scale.services)],
     }
 
 
-def server_entry(number: int, state: ServerState = ServerState.READY) -> ServerEntry:
+def build_server_entry(number: int, state: ServerState = ServerState.READY) -> ServerEntry:
     """Server `number` as the decision module is told of it."""
     return ServerEntry(
         id=number,
@@ -118,9 +120,9 @@
     return f"127.64.{high}.{low + 1}"
 
 
-def instance(number: int, port: int, lifecycle: str = "active") -> Instance:
+def build_instance(number: int, port: int, lifecycle: str = "active") -> Instance:
     """Server `number` as discovery lists it."""
-    entry = server_entry(number)
+    entry = build_server_entry(number)
     return Instance(
         instance_id=f"s-{number:08x}",
         host_port=f"{server_host(number)}:{port}",
@@ -131,16 +133,16 @@
     )
 
 
-def whole_list(servers: int, port: int, generation: int = 1) -> bytes:
+def encode_full_list(servers: int, port: int, generation: int = 1) -> bytes:
     """The body that tells the whole list."""
-    return msgspec.json.encode(Listing(generation, True, [instance(n, port) for n in range(servers)]))
+    return msgspec.json.encode(Listing(generation, True, [build_instance(n, port) for n in range(servers)]))
 
 
-def one_change(number: int, port: int, lifecycle: str, generation: int = 2) -> bytes:
+def encode_delta(number: int, port: int, lifecycle: str, generation: int = 2) -> bytes:
     """The body that tells one changed entry."""
-    return msgspec.json.encode(Listing(generation, False, [instance(number, port, lifecycle)]))
+    return msgspec.json.encode(Listing(generation, False, [build_instance(number, port, lifecycle)]))
 
 
-def quantile(fraction: float, mean: float) -> float:
+def exponential_quantile(fraction: float, mean: float) -> float:
     """Quantile of an exponential distribution, to turn uniform draws into gaps and service times."""
     return -mean * math.log(1.0 - fraction)
--- a/emulator/slopes/fit.py
+++ b/emulator/slopes/fit.py
@@ -16,7 +16,7 @@
     error: float | None
 
 
-def least_squares(x: Sequence[float], y: Sequence[float]) -> Slope | None:
+def fit_slope(x: Sequence[float], y: Sequence[float]) -> Slope | None:
     """Slope of the straight line through the points; None for fewer than two different x."""
     xs, ys = np.asarray(x, dtype=float), np.asarray(y, dtype=float)
     spread = float(np.sum((xs - xs.mean()) ** 2)) if len(xs) else 0.0
@@ -30,8 +30,8 @@
     return Slope(value, math.sqrt(float(np.sum(residuals**2)) / freedom / spread))
 
 
-def exponent(x: Sequence[float], y: Sequence[float]) -> Slope | None:
+def fit_exponent(x: Sequence[float], y: Sequence[float]) -> Slope | None:
     """Slope on logarithmic axes: 0 is flat, 1 is proportional; None where a value is not positive."""
     if min(x, default=0.0) <= 0 or min(y, default=0.0) <= 0:
         return None
-    return least_squares(np.log(x).tolist(), np.log(y).tolist())
+    return fit_slope(np.log(x).tolist(), np.log(y).tolist())
--- a/emulator/slopes/module_host.py
+++ b/emulator/slopes/module_host.py
@@ -6,82 +6,100 @@
 import time
 from random import Random
 
-from dykeshift.interface import Action, AttemptEnd, ListKind, Log, Outcome, Request, Send
-from dykeshift.interface import ServerListUpdate, ServerState, SetTimer
+from dykeshift.interface import (
+    Action,
+    AttemptEnd,
+    ListKind,
+    Log,
+    Outcome,
+    Request,
+    Send,
+    ServerListUpdate,
+    ServerState,
+    SetTimer,
+)
 from dykeshift.rules import Balancer
 from dykeshift.settings import parse_settings
-from emulator.slopes.deployment import CLIENT_PATIENCE_MS, MILLISECOND, SECOND, server_entry, settings_object
+from emulator.slopes.deployment import (
+    NS_PER_MS,
+    NS_PER_S,
+    REQUEST_TIMEOUT_MS,
+    build_server_entry,
+    build_settings,
+)
 from emulator.slopes.sizes import Scale
 
-START = 100 * SECOND  # of the module's clock
-SERVICE_TIME = 20 * MILLISECOND  # of every attempt
+START_NS = 100 * NS_PER_S  # of the module's clock
+SERVICE_TIME_NS = 20 * NS_PER_MS  # of every attempt
 
 
 class ModuleHost:
     """Plays requests, timers and lists to one instance of the module; every attempt ends well."""
 
-    def __init__(self, scale: Scale, seed: int, me: int = 0) -> None:
+    def __init__(self, scale: Scale, seed: int, balancer_index: int = 0) -> None:
         self.scale = scale
         self.random = Random(seed)
-        self.now = START
-        self.balancer = Balancer(parse_settings(settings_object(scale, me=me)), seed)
+        self.now_ns = START_NS
+        self.balancer = Balancer(parse_settings(build_settings(scale, balancer_index=balancer_index)), seed)
         self.timers: list[tuple[int, str]] = []
-        self.log_bytes = self.timers_set = 0
-        self.requests = 0
-        self.longest_timer = 0  # nanoseconds of processor time in one timer's call
-        self.attempts: dict[int, int] = {}  # by server
-        self._take(self.balancer.on_start(self.now))
-        self.whole = ServerListUpdate(ListKind.FULL, tuple(server_entry(n) for n in range(scale.servers)))
+        self.log_bytes = self.timer_count = 0
+        self.request_count = 0
+        self.max_timer_call_ns = 0  # nanoseconds of processor time in one timer's call
+        self.attempts_by_server: dict[int, int] = {}  # by server
+        self._take(self.balancer.on_start(self.now_ns))
+        self.full_list = ServerListUpdate(
+            ListKind.FULL, tuple(build_server_entry(n) for n in range(scale.servers))
+        )
 
-    def load_list(self) -> None:
+    def apply_full_list(self) -> None:
         """Tell the whole list of servers."""
-        self._take(self.balancer.on_list(self.now, self.whole))
+        self._take(self.balancer.on_list(self.now_ns, self.full_list))
 
-    def change_one(self, state: ServerState) -> None:
+    def change_server(self, state: ServerState) -> None:
         """Tell that one server is in a new state."""
-        changed = server_entry(self.scale.servers // 2, state)
-        self._take(self.balancer.on_list(self.now, ServerListUpdate(ListKind.DELTA, (changed,))))
+        changed = build_server_entry(self.scale.servers // 2, state)
+        self._take(self.balancer.on_list(self.now_ns, ServerListUpdate(ListKind.DELTA, (changed,))))
 
-    def serve(self, requests: int) -> None:
+    def serve_requests(self, count: int) -> None:
         """Play requests at the scale's rate, one after another, each answered before the next."""
-        gap = SECOND // self.scale.requests
-        for _ in range(requests):
-            self.advance(self.now + max(0, gap - SERVICE_TIME))
-            self.serve_one()
+        gap = NS_PER_S // self.scale.requests
+        for _ in range(count):
+            self.advance_to(self.now_ns + max(0, gap - SERVICE_TIME_NS))
+            self.serve_request()
 
-    def serve_one(self) -> None:
+    def serve_request(self) -> None:
         """One request with its outcome: the first attempt is answered, and copies of it are cancelled."""
-        self.requests += 1
-        name = f"r{self.requests}"
+        self.request_count += 1
+        name = f"r{self.request_count}"
         request = Request(
             id=name,
             class_index=self.random.randrange(self.scale.services),
-            deadline=self.now + CLIENT_PATIENCE_MS * MILLISECOND,
+            deadline=self.now_ns + REQUEST_TIMEOUT_MS * NS_PER_MS,
             tenant_index=self.random.randrange(self.scale.tenants),
         )
-        sends = [a for a in self._take(self.balancer.on_request(self.now, request)) if isinstance(a, Send)]
-        self.now += SERVICE_TIME
+        sends = [a for a in self._take(self.balancer.on_request(self.now_ns, request)) if isinstance(a, Send)]
+        self.now_ns += SERVICE_TIME_NS
         for number, send in enumerate(sends):
-            self.attempts[send.server_id] = self.attempts.get(send.server_id, 0) + 1
+            self.attempts_by_server[send.server_id] = self.attempts_by_server.get(send.server_id, 0) + 1
             outcome = Outcome.CANCELLED if number else Outcome.OK
-            end = AttemptEnd(name, number, send.server_id, outcome, SERVICE_TIME, True)
-            self._take(self.balancer.on_attempt_end(self.now, end))
+            end = AttemptEnd(name, number, send.server_id, outcome, SERVICE_TIME_NS, True)
+            self._take(self.balancer.on_attempt_end(self.now_ns, end))
 
-    def advance(self, until: int) -> None:
+    def advance_to(self, time_ns: int) -> None:
         """Let time pass, with the timers that come due."""
-        while self.timers and self.timers[0][0] <= until:
+        while self.timers and self.timers[0][0] <= time_ns:
             at, token = heapq.heappop(self.timers)
-            self.now = max(self.now, at)
+            self.now_ns = max(self.now_ns, at)
             began = time.thread_time_ns()
-            actions = self.balancer.on_timer(self.now, token)
-            self.longest_timer = max(self.longest_timer, time.thread_time_ns() - began)
+            actions = self.balancer.on_timer(self.now_ns, token)
+            self.max_timer_call_ns = max(self.max_timer_call_ns, time.thread_time_ns() - began)
             self._take(actions)
-        self.now = until
+        self.now_ns = time_ns
 
     def _take(self, actions: list[Action]) -> list[Action]:
         for action in actions:
             if isinstance(action, SetTimer):
-                self.timers_set += 1
+                self.timer_count += 1
                 heapq.heappush(self.timers, (action.fire_at, action.token))
             elif isinstance(action, Log):
                 self.log_bytes += len(action.text) + 1
--- a/emulator/slopes/module_role.py
+++ b/emulator/slopes/module_role.py
@@ -9,12 +9,12 @@
 import gc
 
 from dykeshift.interface import ServerState
-from emulator.slopes.counting import count_lines, held
-from emulator.slopes.deployment import SECOND
+from emulator.slopes.counting import count_executed_lines, measure_reachable
+from emulator.slopes.deployment import NS_PER_S
 from emulator.slopes.module_host import ModuleHost
-from emulator.slopes.roles import Effort, Figure, Role
+from emulator.slopes.roles import Figure, MeasurementBudget, Role
 from emulator.slopes.sizes import Axis, Scale
-from emulator.slopes.timing import best_time
+from emulator.slopes.timing import min_cpu_time_ns
 
 WARM_REQUESTS = 400  # before anything is measured: servers are known and running means have settled
 TIMED_REQUESTS = 200  # in one timed block
@@ -24,16 +24,16 @@
 
 def _warm_host(scale: Scale, seed: int) -> ModuleHost:
     host = ModuleHost(scale, seed)
-    host.load_list()
-    host.serve(WARM_REQUESTS)
+    host.apply_full_list()
+    host.serve_requests(WARM_REQUESTS)
     return host
 
 
 def _serve_without_timers(host: ModuleHost, requests: int) -> None:
     """Requests at their rate while no timer comes due: timers are measured by themselves."""
     for _ in range(requests):
-        host.serve_one()
-        host.now += SECOND // host.scale.requests
+        host.serve_request()
+        host.now_ns += NS_PER_S // host.scale.requests
 
 
 def _serve_timed(host: ModuleHost) -> None:
@@ -42,24 +42,26 @@
 
 def _drain_and_return(host: ModuleHost) -> None:
     """Two changes of one entry."""
-    host.change_one(ServerState.DRAINING)
-    host.change_one(ServerState.READY)
+    host.change_server(ServerState.DRAINING)
+    host.change_server(ServerState.READY)
 
 
 def _idle(host: ModuleHost) -> None:
-    host.longest_timer = host.log_bytes = host.timers_set = 0
-    host.advance(host.now + IDLE_SECONDS * SECOND)
+    host.max_timer_call_ns = host.log_bytes = host.timer_count = 0
+    host.advance_to(host.now_ns + IDLE_SECONDS * NS_PER_S)
 
 
-def counted(scale: Scale, seed: int) -> list[Figure]:
+def measure_counts(scale: Scale, seed: int) -> list[Figure]:
     """What is the same in every run of one seed, so that a test can hold its growth on any machine."""
-    list_lines = count_lines(ModuleHost(scale, seed).load_list)
+    list_lines = count_executed_lines(ModuleHost(scale, seed).apply_full_list)
     host = _warm_host(scale, seed)
-    state = held(host.balancer)
-    change_lines = count_lines(lambda: _drain_and_return(host)) / 2
-    request_lines = count_lines(lambda: _serve_without_timers(host, COUNTED_REQUESTS)) / COUNTED_REQUESTS
-    attempts = sum(host.attempts.values()) / host.requests
-    timer_lines = count_lines(lambda: _idle(host)) / IDLE_SECONDS
+    state = measure_reachable(host.balancer)
+    change_lines = count_executed_lines(lambda: _drain_and_return(host)) / 2
+    request_lines = (
+        count_executed_lines(lambda: _serve_without_timers(host, COUNTED_REQUESTS)) / COUNTED_REQUESTS
+    )
+    attempts = sum(host.attempts_by_server.values()) / host.request_count
+    timer_lines = count_executed_lines(lambda: _idle(host)) / IDLE_SECONDS
     return [
         Figure("state, objects", "objects", state.objects),
         Figure("state, size", "MB", state.size / 1e6),
@@ -69,25 +71,25 @@
         Figure("request and outcome, lines executed", "lines", request_lines),
         Figure("request, attempts", "attempts", attempts),
         Figure("timers, lines executed a second", "lines", timer_lines),
-        Figure("timers, set a second", "1/s", host.timers_set / IDLE_SECONDS),
+        Figure("timers, set a second", "1/s", host.timer_count / IDLE_SECONDS),
         Figure("log, bytes a second", "B/s", host.log_bytes / IDLE_SECONDS),
     ]
 
 
-def _timed(scale: Scale, effort: Effort, seed: int) -> list[Figure]:
+def _timed(scale: Scale, budget: MeasurementBudget, seed: int) -> list[Figure]:
     """Processor times, each the best of several."""
-    seconds = effort.block_seconds
-    list_time = best_time(ModuleHost.load_list, lambda: ModuleHost(scale, seed), seconds)
+    seconds = budget.block_seconds
+    list_time = min_cpu_time_ns(ModuleHost.apply_full_list, lambda: ModuleHost(scale, seed), seconds)
     host = _warm_host(scale, seed)
-    change_time = best_time(_drain_and_return, lambda: host, seconds) / 2
-    request_time = best_time(_serve_timed, lambda: host, seconds)
+    change_time = min_cpu_time_ns(_drain_and_return, lambda: host, seconds) / 2
+    request_time = min_cpu_time_ns(_serve_timed, lambda: host, seconds)
     longest_calls: list[int] = []
 
     def idle(one: ModuleHost) -> None:
         _idle(one)
-        longest_calls.append(one.longest_timer)
+        longest_calls.append(one.max_timer_call_ns)
 
-    timer_time = best_time(idle, lambda: host, seconds)
+    timer_time = min_cpu_time_ns(idle, lambda: host, seconds)
     return [
         Figure("whole list, processor time", "ms", list_time / 1e6),
         Figure("one changed entry, processor time", "us", change_time / 1e3),
@@ -98,15 +100,15 @@
     ]
 
 
-def measure(scale: Scale, effort: Effort, seed: int) -> list[Figure]:
+def measure(scale: Scale, budget: MeasurementBudget, seed: int) -> list[Figure]:
     """All measures of the module at one scale."""
     gc.collect()
-    return counted(scale, seed) + _timed(scale, effort, seed)
+    return measure_counts(scale, seed) + _timed(scale, budget, seed)
 
 
 ROLE = Role(
     name="module",
-    about="the decision module in this process; times are processor times, the best of several",
+    description="the decision module in this process; times are processor times, the best of several",
     axes=tuple(Axis),
     quick_axes=(Axis.FLEET,),
     measure=measure,
--- a/emulator/slopes/monitoring.py
+++ b/emulator/slopes/monitoring.py
@@ -9,7 +9,7 @@
 if sys.version_info >= (3, 12):
     TOOL = sys.monitoring.PROFILER_ID
 
-    def count_lines_monitored(work: Callable[[], object], folder: str) -> int:
+    def count_lines_by_monitoring(work: Callable[[], object], folder: str) -> int:
         """Lines of files under `folder` that `work` executes."""
         lines = 0
 
--- a/emulator/slopes/plots.py
+++ b/emulator/slopes/plots.py
@@ -21,7 +21,7 @@
 COLORS = matplotlib.colormaps["tab20"]
 
 
-def plot(rows: Sequence[Row], folder: Path) -> list[Path]:
+def save_plots(rows: Sequence[Row], folder: Path) -> list[Path]:
     """One figure for each role with a part for each axis: growth of its measures from the smallest size."""
     plotted = [row for row in rows if row.bar is None and len(row.sizes) > 1 and min(row.values) > 0]
     return [
--- a/emulator/slopes/process_role.py
+++ b/emulator/slopes/process_role.py
@@ -10,16 +10,16 @@
 import psutil
 
 from emulator.deployment import PROJECT_ROOT
-from emulator.slopes.rig import Job, Result
-from emulator.slopes.roles import Effort, Figure, MeasurementError, Role
-from emulator.slopes.sizes import SMALL_CUSTOMER, TARGET, Axis, Scale
+from emulator.slopes.rig import MeasurementJob, MeasurementResult
+from emulator.slopes.roles import Figure, MeasurementBudget, MeasurementError, Role
+from emulator.slopes.sizes import SMALL_DEPLOYMENT, TARGET, Axis, Scale
 
 DAY = 86_400
 STOP_SECONDS = 15.0  # for the rig to stop its balancer and end
-BAR_SCALES = (TARGET, SMALL_CUSTOMER)  # measured for longer: bars stand on them
+BAR_SCALES = (TARGET, SMALL_DEPLOYMENT)  # measured for longer: bars stand on them
 
 
-def run_rig(job: Job) -> Result:
+def run_rig(job: MeasurementJob) -> MeasurementResult:
     """One job in a rig of its own, which is ended whatever happens."""
     process = subprocess.Popen(
         [sys.executable, "-m", "emulator.slopes.rig"],
@@ -37,7 +37,7 @@
         _end(process)
     if not line:
         raise MeasurementError(f"the rig ended with code {process.returncode} and no result")
-    result: Result = msgspec.json.decode(line, type=Result)
+    result: MeasurementResult = msgspec.json.decode(line, type=MeasurementResult)
     if result.error is not None:
         raise MeasurementError(result.error)
     return result
@@ -58,17 +58,17 @@
 
 
 @cache
-def _steady(scale: Scale, effort: Effort, seed: int) -> Result:
+def _steady(scale: Scale, budget: MeasurementBudget, seed: int) -> MeasurementResult:
     """Idle and load of one scale come from one start of the balancer."""
-    idle_seconds, load_seconds = effort.idle_seconds, effort.load_seconds
+    idle_seconds, load_seconds = budget.idle_seconds, budget.load_seconds
     if scale in BAR_SCALES:
-        idle_seconds, load_seconds = effort.bar_idle_seconds, effort.bar_load_seconds
-    return run_rig(Job(scale, seed, idle_seconds, load_seconds))
+        idle_seconds, load_seconds = budget.bar_idle_seconds, budget.bar_load_seconds
+    return run_rig(MeasurementJob(scale, seed, idle_seconds, load_seconds))
 
 
-def measure_idle(scale: Scale, effort: Effort, seed: int) -> list[Figure]:
+def measure_idle(scale: Scale, budget: MeasurementBudget, seed: int) -> list[Figure]:
     """The balancer with no requests."""
-    idle = _steady(scale, effort, seed).idle
+    idle = _steady(scale, budget, seed).idle
     assert idle is not None
     changes = idle.change_bytes * scale.changes / DAY
     control = idle.control_in_per_s + idle.control_out_per_s + changes
@@ -83,9 +83,9 @@
     ]
 
 
-def measure_load(scale: Scale, effort: Effort, seed: int) -> list[Figure]:
+def measure_load(scale: Scale, budget: MeasurementBudget, seed: int) -> list[Figure]:
     """The balancer at the scale's rate of requests."""
-    load = _steady(scale, effort, seed).load
+    load = _steady(scale, budget, seed).load
     assert load is not None
     balanced, direct = load.balanced, load.direct
     return [
@@ -100,9 +100,9 @@
     ]
 
 
-def measure_first_list(scale: Scale, effort: Effort, seed: int) -> list[Figure]:
+def measure_first_list(scale: Scale, budget: MeasurementBudget, seed: int) -> list[Figure]:
     """How long the first list holds the balancer's event loop, seen by pings from outside; the best start."""
-    results = [run_rig(Job(scale, seed, first_list=True)).first_list for _ in range(effort.starts)]
+    results = [run_rig(MeasurementJob(scale, seed, first_list=True)).first_list for _ in range(budget.starts)]
     waits = [result for result in results if result is not None]
     return [
         Figure("first list, longest wait for /ready", "ms", min(wait.during for wait in waits)),
@@ -112,21 +112,21 @@
 
 IDLE_ROLE = Role(
     name="balancer-idle",
-    about="the real program with no requests: processor, memory, log and control traffic",
+    description="the real program with no requests: processor, memory, log and control traffic",
     axes=(Axis.SERVERS, Axis.TENANTS, Axis.SERVICES, Axis.BALANCERS, Axis.FLEET),
     quick_axes=(Axis.FLEET,),
     measure=measure_idle,
 )
 LOAD_ROLE = Role(
     name="balancer-load",
-    about="the real program under an open-loop load: processor, memory, log and added latency",
+    description="the real program under an open-loop load: processor, memory, log and added latency",
     axes=(Axis.SERVERS, Axis.TENANTS, Axis.SERVICES, Axis.BALANCERS, Axis.REQUESTS, Axis.FLEET),
     quick_axes=(Axis.FLEET,),
     measure=measure_load,
 )
 FIRST_LIST_ROLE = Role(
     name="first-list",
-    about="the real program as it takes its first list: longest wait for /ready, pinged from outside",
+    description="the real program as it takes its first list: longest wait for /ready, pinged from outside",
     axes=(Axis.SERVERS, Axis.FLEET),
     quick_axes=(Axis.FLEET,),
     measure=measure_first_list,
--- a/emulator/slopes/report.py
+++ b/emulator/slopes/report.py
@@ -36,7 +36,7 @@
     (folder / ROWS_FILE).write_bytes(b"".join(encoded))
 
 
-def shown(value: float) -> str:
+def format_value(value: float) -> str:
     """A figure with four significant digits; what is left of rounding alone is 0."""
     if abs(value) < NOTHING:
         return "0"
@@ -46,7 +46,11 @@
 def _shown_slope(slope: Slope | None) -> str:
     if slope is None:
         return "-"
-    return shown(slope.value) if slope.error is None else f"{shown(slope.value)} ± {shown(slope.error)}"
+    return (
+        format_value(slope.value)
+        if slope.error is None
+        else f"{format_value(slope.value)} ± {format_value(slope.error)}"
+    )
 
 
 def _cells(row: Row) -> tuple[str, ...]:
@@ -56,8 +60,8 @@
         row.measure,
         row.unit,
         row.axis,
-        " ".join(shown(size) for size in row.sizes),
-        " ".join(shown(value) for value in row.values),
+        " ".join(format_value(size) for size in row.sizes),
+        " ".join(format_value(value) for value in row.values),
         _shown_slope(row.exponent),
         _shown_slope(row.linear),
         f"{row.bar}: {verdict}" if row.bar else "",
--- a/emulator/slopes/roles.py
+++ b/emulator/slopes/roles.py
@@ -21,7 +21,7 @@
     value: float
 
 
-class Effort(msgspec.Struct, frozen=True):
+class MeasurementBudget(msgspec.Struct, frozen=True):
     """How long and how often each point is measured."""
 
     block_seconds: float  # of processor time in which a piece of work is repeated; the best run counts
@@ -32,7 +32,7 @@
     starts: int  # of the program, where the best of several counts
 
 
-FULL = Effort(
+FULL_BUDGET = MeasurementBudget(
     block_seconds=0.5,
     idle_seconds=2.5,
     load_seconds=3.0,
@@ -40,7 +40,7 @@
     bar_load_seconds=16.0,
     starts=2,
 )
-QUICK = Effort(
+QUICK_BUDGET = MeasurementBudget(
     block_seconds=0.1,
     idle_seconds=1.0,
     load_seconds=1.5,
@@ -49,14 +49,14 @@
     starts=1,
 )
 
-Measure = Callable[[Scale, Effort, int], list[Figure]]  # scale, effort, seed
+MeasureFunction = Callable[[Scale, MeasurementBudget, int], list[Figure]]  # scale, effort, seed
 
 
 class Role(msgspec.Struct, frozen=True):
     """A part of the deployment that is measured by itself."""
 
     name: str
-    about: str
+    description: str
     axes: tuple[Axis, ...]
     quick_axes: tuple[Axis, ...]  # of a quick run that names no axis
-    measure: Measure
+    measure: MeasureFunction
--- a/emulator/slopes/campaign.py
+++ b/emulator/slopes/run.py
@@ -6,15 +6,15 @@
 
 import msgspec
 
-from emulator.slopes.bars import BARS, Bar, judge
+from emulator.slopes.bars import BARS, Bar, evaluate_bar
 from emulator.slopes.discovery_role import ROLE as DISCOVERY_ROLE
-from emulator.slopes.fit import exponent, least_squares
+from emulator.slopes.fit import fit_exponent, fit_slope
 from emulator.slopes.module_role import ROLE as MODULE_ROLE
 from emulator.slopes.process_role import FIRST_LIST_ROLE, IDLE_ROLE, LOAD_ROLE
 from emulator.slopes.report import Row
-from emulator.slopes.roles import FULL, QUICK, Figure, MeasurementError, Role
+from emulator.slopes.roles import FULL_BUDGET, QUICK_BUDGET, Figure, MeasurementError, Role
 from emulator.slopes.server_role import ROLE as SERVER_ROLE
-from emulator.slopes.sizes import Axis, Point, Scale, points_of
+from emulator.slopes.sizes import Axis, Point, Scale, axis_points
 
 ROLES: dict[str, Role] = {
     role.name: role
@@ -22,7 +22,7 @@
 }
 
 
-class Plan(msgspec.Struct, frozen=True):
+class MeasurementPlan(msgspec.Struct, frozen=True):
     """What the user asked for; no axis means all of a role's own."""
 
     roles: tuple[str, ...]
@@ -32,24 +32,24 @@
     seed: int
 
 
-class Task(msgspec.Struct, frozen=True):
+class MeasurementTask(msgspec.Struct, frozen=True):
     """One role at one scale."""
 
     role: str
     scale: Scale
 
 
-class Campaign:
+class MeasurementRun:
     """Measures each role at each scale once, and keeps the figures."""
 
-    def __init__(self, plan: Plan) -> None:
+    def __init__(self, plan: MeasurementPlan) -> None:
         self.plan = plan
-        self.effort = QUICK if plan.quick else FULL
+        self.budget = QUICK_BUDGET if plan.quick else FULL_BUDGET
         if IDLE_ROLE.name not in plan.roles:
-            self.effort = msgspec.structs.replace(self.effort, idle_seconds=0.0, bar_idle_seconds=0.0)
+            self.budget = msgspec.structs.replace(self.budget, idle_seconds=0.0, bar_idle_seconds=0.0)
         if LOAD_ROLE.name not in plan.roles:
-            self.effort = msgspec.structs.replace(self.effort, load_seconds=0.0, bar_load_seconds=0.0)
-        self.figures: dict[Task, list[Figure]] = {}
+            self.budget = msgspec.structs.replace(self.budget, load_seconds=0.0, bar_load_seconds=0.0)
+        self.figures: dict[MeasurementTask, list[Figure]] = {}
         self.failures: list[str] = []
 
     def _lines(self) -> Iterator[tuple[Role, Axis, tuple[Point, ...]]]:
@@ -58,37 +58,39 @@
             own = role.quick_axes if self.plan.quick and not self.plan.axes else role.axes
             for axis in own:
                 if not self.plan.axes or axis in self.plan.axes:
-                    yield role, axis, points_of(axis, self.plan.quick)
+                    yield role, axis, axis_points(axis, self.plan.quick)
 
     def _bars(self) -> list[Bar]:
         return [bar for bar in BARS if self.plan.bars and bar.role in self.plan.roles]
 
-    def tasks(self) -> list[Task]:
+    def tasks(self) -> list[MeasurementTask]:
         """All that is to be measured, each once, role by role."""
-        wanted = [Task(role.name, p.scale) for role, _, points in self._lines() for p in points]
-        wanted += [Task(bar.role, scale) for bar in self._bars() for scale in bar.scales()]
+        wanted = [MeasurementTask(role.name, p.scale) for role, _, points in self._lines() for p in points]
+        wanted += [
+            MeasurementTask(bar.role, scale) for bar in self._bars() for scale in bar.required_scales()
+        ]
         unique = list(dict.fromkeys(wanted))
         return sorted(unique, key=lambda task: self.plan.roles.index(task.role))
 
-    def measure(self, task: Task) -> None:
+    def measure(self, task: MeasurementTask) -> None:
         """Measure and keep; a failure is kept too."""
         try:
-            figures = ROLES[task.role].measure(task.scale, self.effort, self.plan.seed)
+            figures = ROLES[task.role].measure(task.scale, self.budget, self.plan.seed)
         except MeasurementError as error:
             self.failures.append(f"not measured: {task.role} at {task.scale.servers} servers: {error}")
             return
         self.figures[task] = figures
 
     def _lookup(self, role: str, measure: str, scale: Scale) -> Figure | None:
-        figures = self.figures.get(Task(role, scale), [])
+        figures = self.figures.get(MeasurementTask(role, scale), [])
         return next((figure for figure in figures if figure.measure == measure), None)
 
     def _axis_rows(self, role: Role, axis: Axis, points: tuple[Point, ...]) -> Iterator[Row]:
-        measured = [p for p in points if Task(role.name, p.scale) in self.figures]
+        measured = [p for p in points if MeasurementTask(role.name, p.scale) in self.figures]
         if not measured:
             return
         sizes = [float(p.size) for p in measured]
-        columns = [self.figures[Task(role.name, p.scale)] for p in measured]
+        columns = [self.figures[MeasurementTask(role.name, p.scale)] for p in measured]
         for along in zip(*columns, strict=True):
             values = [figure.value for figure in along]
             yield Row(
@@ -98,12 +100,12 @@
                 axis=axis.value,
                 sizes=sizes,
                 values=values,
-                exponent=exponent(sizes, values),
-                linear=least_squares(sizes, values),
+                exponent=fit_exponent(sizes, values),
+                linear=fit_slope(sizes, values),
             )
 
     def rows(self) -> list[Row]:
         """All rows that the figures so far give, those of the bars at the end."""
         rows = [row for line in self._lines() for row in self._axis_rows(*line)]
-        judged = (judge(bar, self._lookup) for bar in self._bars())
+        judged = (evaluate_bar(bar, self._lookup) for bar in self._bars())
         return rows + [row for row in judged if row is not None]
--- a/emulator/slopes/server_role.py
+++ b/emulator/slopes/server_role.py
@@ -5,23 +5,23 @@
 from collections import Counter
 
 from emulator.slopes.module_host import ModuleHost
-from emulator.slopes.roles import Effort, Figure, Role
+from emulator.slopes.roles import Figure, MeasurementBudget, Role
 from emulator.slopes.sizes import Axis, Scale
 
 SECONDS = 3  # of each module's clock
 
 
-def measure(scale: Scale, effort: Effort, seed: int) -> list[Figure]:
+def measure(scale: Scale, budget: MeasurementBudget, seed: int) -> list[Figure]:
     """Balancers and attempts that meet at a server; instances share nothing, so they run one by one."""
-    del effort  # nothing is timed
+    del budget  # nothing is timed
     balancers: Counter[int] = Counter()  # by server: each keeps at least one connection to it
     attempts: Counter[int] = Counter()
-    for me in range(scale.balancers):
-        host = ModuleHost(scale, seed + me, me)
-        host.load_list()
-        host.serve(SECONDS * scale.requests)
-        balancers.update(host.attempts.keys())
-        attempts.update(host.attempts)
+    for balancer_index in range(scale.balancers):
+        host = ModuleHost(scale, seed + balancer_index, balancer_index)
+        host.apply_full_list()
+        host.serve_requests(SECONDS * scale.requests)
+        balancers.update(host.attempts_by_server.keys())
+        attempts.update(host.attempts_by_server)
     return [
         Figure("balancers at a server, mean", "connections", balancers.total() / scale.servers),
         Figure("balancers at a server, most", "connections", max(balancers.values())),
@@ -32,7 +32,7 @@
 
 ROLE = Role(
     name="server",
-    about="connections and attempts that reach one photo server from the modules of all balancers",
+    description="connections and attempts that reach one photo server from the modules of all balancers",
     axes=(Axis.SERVERS, Axis.BALANCERS, Axis.REQUESTS),
     quick_axes=(Axis.REQUESTS,),
     measure=measure,
--- a/emulator/slopes/sizes.py
+++ b/emulator/slopes/sizes.py
@@ -31,7 +31,7 @@
 
 BASE = Scale(servers=100, tenants=100, services=10, balancers=42, changes=39, requests=62)
 TARGET = Scale(servers=6_400, tenants=15_000, services=110, balancers=420, changes=390, requests=62)
-SMALL_CUSTOMER = Scale(servers=10, tenants=9, services=3, balancers=2, changes=39, requests=62)
+SMALL_DEPLOYMENT = Scale(servers=10, tenants=9, services=3, balancers=2, changes=39, requests=62)
 
 
 class Axis(Enum):
@@ -53,7 +53,7 @@
     scale: Scale
 
 
-AXIS_TITLES = {
+AXIS_DESCRIPTIONS = {
     Axis.SERVERS: "servers in discovery's list",
     Axis.TENANTS: "tenants in the settings",
     Axis.SERVICES: "request classes in the settings (one pool of servers serves all of them)",
@@ -73,7 +73,7 @@
 _FLEET_TENANTS = dict(zip(_SIZES[Axis.SERVERS], _SIZES[Axis.TENANTS], strict=True))
 
 
-def points_of(axis: Axis, quick: bool = False) -> tuple[Point, ...]:
+def axis_points(axis: Axis, quick: bool = False) -> tuple[Point, ...]:
     """The sizes measured on an axis, ascending; `quick` takes the first, the middle and the last."""
     if axis is Axis.FLEET:
         points = tuple(
--- a/emulator/slopes/standins.py
+++ b/emulator/slopes/standins.py
@@ -11,14 +11,14 @@
 import msgspec
 
 from emulator.discovery_schema import Listing
-from emulator.slopes.deployment import one_change, server_host, whole_list
+from emulator.slopes.deployment import encode_delta, encode_full_list, server_host
 
-SERVICE_SECONDS = 0.02  # that a photo server holds each request
+SERVICE_TIME_S = 0.02  # that a photo server holds each request
 LOCALHOST = "127.0.0.1"
-PORT_TRIES = 20
+MAX_PORT_ATTEMPTS = 20
 
 
-def answer(body: bytes, status: str = "200 OK") -> bytes:
+def http_response(body: bytes, status: str = "200 OK") -> bytes:
     """A whole HTTP answer."""
     return f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
 
@@ -69,17 +69,17 @@
     def on_message_complete(self) -> None:
         """Called by the parser."""
         loop = asyncio.get_running_loop()
-        loop.call_later(SERVICE_SECONDS, self._answer, time.monotonic_ns())
+        loop.call_later(SERVICE_TIME_S, self._answer, time.monotonic_ns())
 
     def _answer(self, arrived: int) -> None:
-        self.write(answer(b"%d" % (time.monotonic_ns() - arrived)))
+        self.write(http_response(b"%d" % (time.monotonic_ns() - arrived)))
 
 
 async def start_photo_servers(servers: int) -> int:
     """Listen at an address of its own for each server, all on one port, which is returned."""
     loop = asyncio.get_running_loop()
     hosts = [server_host(n) for n in range(servers)]
-    for _ in range(PORT_TRIES):
+    for _ in range(MAX_PORT_ATTEMPTS):
         probe = await loop.create_server(PhotoServerProtocol, hosts[0], 0)
         port = int(probe.sockets[0].getsockname()[1])
         try:
@@ -92,50 +92,54 @@
     raise OSError("no port is free at all servers' addresses")
 
 
-class Agent:
+class DiscoveryAgent:
     """What discovery has told this balancer's machine, and the calls that wait for something newer."""
 
     def __init__(self, servers: int, server_port: int) -> None:
         self.servers = servers
         self.server_port = server_port
         self.generation = 1
-        self.whole = answer(whole_list(servers, server_port))
-        self.change = b""  # the latest one, already an answer
-        self.silent = False  # calls wait, also for the first list
-        self.waiting: dict[AgentProtocol, int | None] = {}  # with the generation that the caller has
+        self.full_list_response = http_response(encode_full_list(servers, server_port))
+        self.delta_response = b""  # the latest one, already an answer
+        self.withholds_responses = False  # calls wait, also for the first list
+        self.pending_polls: dict[
+            DiscoveryAgentProtocol, int | None
+        ] = {}  # with the generation that the caller has
         self.bytes_in = self.bytes_out = 0
 
-    def publish(self, number: int, lifecycle: str) -> None:
+    def publish_change(self, number: int, lifecycle: str) -> None:
         """Tell one changed entry to all who wait."""
         self.generation += 1
-        self.change = answer(one_change(number, self.server_port, lifecycle, self.generation))
-        self.release()
+        self.delta_response = http_response(
+            encode_delta(number, self.server_port, lifecycle, self.generation)
+        )
+        self.release_responses()
 
-    def release(self) -> None:
+    def release_responses(self) -> None:
         """Answer all calls that wait and have something to be told."""
-        self.silent = False
-        for caller, known in list(self.waiting.items()):
+        self.withholds_responses = False
+        for caller, known in list(self.pending_polls.items()):
             if known != self.generation:
-                self.reply(caller, known)
+                self.respond(caller, known)
 
-    def reply(self, caller: AgentProtocol, known: int | None) -> None:
+    def respond(self, caller: DiscoveryAgentProtocol, known: int | None) -> None:
         """Answer one call: nothing new, the latest change, or the whole list."""
-        self.waiting.pop(caller, None)
+        self.pending_polls.pop(caller, None)
         if known == self.generation:
-            data = answer(msgspec.json.encode(Listing(self.generation, False, [])))
+            data = http_response(msgspec.json.encode(Listing(self.generation, False, [])))
         elif known is not None and known == self.generation - 1:
-            data = self.change
+            data = self.delta_response
         else:
-            data = answer(whole_list(self.servers, self.server_port, self.generation))
+            data = http_response(encode_full_list(self.servers, self.server_port, self.generation))
             if self.generation == 1:
-                data = self.whole
+                data = self.full_list_response
         self.bytes_out += caller.write(data)
 
 
-class AgentProtocol(HttpServerProtocol):
+class DiscoveryAgentProtocol(HttpServerProtocol):
     """One connection of the balancer to its agent."""
 
-    def __init__(self, agent: Agent) -> None:
+    def __init__(self, agent: DiscoveryAgent) -> None:
         super().__init__()
         self.agent = agent
 
@@ -147,7 +151,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Called by the loop."""
         super().connection_lost(exc)
-        self.agent.waiting.pop(self, None)
+        self.agent.pending_polls.pop(self, None)
 
     def on_message_complete(self) -> None:
         """Called by the parser."""
@@ -155,20 +159,22 @@
         known = int(query["from"][0]) if "from" in query else None
         hold = int(query.get("hold_ms", ["0"])[0]) / 1000
         agent = self.agent
-        if agent.silent:
-            agent.waiting[self] = known
+        if agent.withholds_responses:
+            agent.pending_polls[self] = known
         elif known != agent.generation or not hold:
-            agent.reply(self, known)
+            agent.respond(self, known)
         else:
-            agent.waiting[self] = known
+            agent.pending_polls[self] = known
             asyncio.get_running_loop().call_later(hold, self._expire, known)
 
     def _expire(self, known: int | None) -> None:
-        if self.agent.waiting.get(self) == known and known == self.agent.generation:
-            self.agent.reply(self, known)
+        if self.agent.pending_polls.get(self) == known and known == self.agent.generation:
+            self.agent.respond(self, known)
 
 
-async def start_agent(agent: Agent) -> int:
+async def start_discovery_agent(agent: DiscoveryAgent) -> int:
     """Listen on a free port, which is returned."""
-    server = await asyncio.get_running_loop().create_server(lambda: AgentProtocol(agent), LOCALHOST, 0)
+    server = await asyncio.get_running_loop().create_server(
+        lambda: DiscoveryAgentProtocol(agent), LOCALHOST, 0
+    )
     return int(server.sockets[0].getsockname()[1])
--- a/emulator/slopes/timing.py
+++ b/emulator/slopes/timing.py
@@ -9,10 +9,11 @@
 
 Subject = TypeVar("Subject")
 
-LEAST_RUNS, MOST_RUNS = 3, 60
+MIN_RUNS = 3
+MAX_RUNS = 60
 
 
-def best_time(work: Callable[[Subject], object], setup: Callable[[], Subject], seconds: float) -> int:
+def min_cpu_time_ns(work: Callable[[Subject], object], setup: Callable[[], Subject], seconds: float) -> int:
     """Nanoseconds of this thread's processor time in the quickest of some runs, without garbage collections.
 
     Runs go on for about `seconds`; `setup` gives each run its subject and is not part of its time.
@@ -22,7 +23,7 @@
     collecting = gc.isenabled()
     gc.disable()  # a collection walks all of this process, not only what is measured
     try:
-        while len(times) < LEAST_RUNS or (len(times) < MOST_RUNS and time.thread_time() < end):
+        while len(times) < MIN_RUNS or (len(times) < MAX_RUNS and time.thread_time() < end):
             subject = setup()
             began = time.thread_time_ns()
             work(subject)
--- a/tests/emulator/test_slopes.py
+++ b/tests/emulator/test_slopes.py
@@ -20,21 +20,21 @@
 
 from emulator.cli import main
 from emulator.deployment import DEPLOY_FILE, DEPLOYED_PYTHON, balancer_command
-from emulator.slopes import campaign as campaign_module
 from emulator.slopes import command as command_module
 from emulator.slopes import discovery_role, module_role, server_role
-from emulator.slopes.bars import BARS, Bar, judge
-from emulator.slopes.campaign import Campaign, Plan
-from emulator.slopes.counting import count_lines, held
-from emulator.slopes.fit import exponent, least_squares
-from emulator.slopes.plots import plot
+from emulator.slopes import run as run_module
+from emulator.slopes.bars import BARS, Bar, evaluate_bar
+from emulator.slopes.counting import count_executed_lines, measure_reachable
+from emulator.slopes.fit import fit_exponent, fit_slope
+from emulator.slopes.plots import save_plots
 from emulator.slopes.report import ROWS_FILE, Row
-from emulator.slopes.roles import QUICK, Effort, Figure
-from emulator.slopes.sizes import BASE, TARGET, Axis, Scale, points_of
-from emulator.slopes.timing import best_time
+from emulator.slopes.roles import QUICK_BUDGET, Figure, MeasurementBudget
+from emulator.slopes.run import MeasurementPlan, MeasurementRun
+from emulator.slopes.sizes import BASE, TARGET, Axis, Scale, axis_points
+from emulator.slopes.timing import min_cpu_time_ns
 
 TINY = msgspec.structs.replace(BASE, servers=20, tenants=5, services=3, balancers=2)
-BRIEF = msgspec.structs.replace(QUICK, block_seconds=0.0)
+BRIEF = msgspec.structs.replace(QUICK_BUDGET, block_seconds=0.0)
 TIMES = ("ms", "us")  # units of what differs from run to run
 
 
@@ -44,53 +44,53 @@
 
 def test_fit_recovers_known_slopes() -> None:
     x = [1.0, 2.0, 4.0, 8.0, 16.0]
-    line = least_squares(x, [3.0 + 2.0 * one for one in x])
+    line = fit_slope(x, [3.0 + 2.0 * one for one in x])
     assert line is not None and line.error is not None
     assert line.value == pytest.approx(2.0) and line.error == pytest.approx(0.0, abs=1e-9)
-    power = exponent(x, [5.0 * one**1.5 for one in x])
+    power = fit_exponent(x, [5.0 * one**1.5 for one in x])
     assert power is not None and power.value == pytest.approx(1.5)
 
 
 def test_fit_states_the_error_that_numpy_states() -> None:
     x, y = [1.0, 2.0, 3.0, 4.0, 5.0], [1.1, 1.9, 3.2, 3.7, 5.4]
     coefficients, covariance = np.polyfit(x, y, 1, cov=True)
-    slope = least_squares(x, y)
+    slope = fit_slope(x, y)
     assert slope is not None and slope.value == pytest.approx(coefficients[0])
     assert slope.error == pytest.approx(covariance[0, 0] ** 0.5)
 
 
 def test_fit_of_too_few_or_unfit_points_claims_nothing() -> None:
-    assert least_squares([3.0], [1.0]) is None
-    assert least_squares([3.0, 3.0], [1.0, 2.0]) is None
-    assert exponent([1.0, 2.0], [0.0, 2.0]) is None
-    two = least_squares([1.0, 2.0], [1.0, 3.0])
+    assert fit_slope([3.0], [1.0]) is None
+    assert fit_slope([3.0, 3.0], [1.0, 2.0]) is None
+    assert fit_exponent([1.0, 2.0], [0.0, 2.0]) is None
+    two = fit_slope([1.0, 2.0], [1.0, 3.0])
     assert two is not None and two.error is None
 
 
 def test_all_axes_reach_the_target_from_five_sizes() -> None:
     for axis in Axis:
-        points = points_of(axis)
-        assert len(points) >= 5 and len(points_of(axis, quick=True)) == 3
+        points = axis_points(axis)
+        assert len(points) >= 5 and len(axis_points(axis, quick=True)) == 3
         largest = points[-1].scale
         assert largest == TARGET if axis is Axis.FLEET else points[-1].size == getattr(TARGET, axis.value)
 
 
 def test_counts_only_the_balancer_s_lines_and_restores_the_tracer() -> None:
     before = sys.gettrace()
-    assert count_lines(lambda: sum(range(5))) == 0
+    assert count_executed_lines(lambda: sum(range(5))) == 0
     assert sys.gettrace() is before
 
 
 def test_the_best_time_leaves_out_the_setup_and_collects_again() -> None:
-    elapsed = best_time(lambda _: None, lambda: sum(range(1_000_000)), seconds=0.0)
+    elapsed = min_cpu_time_ns(lambda _: None, lambda: sum(range(1_000_000)), seconds=0.0)
     assert 0 < elapsed < 1_000_000  # nanoseconds; the setup takes several times that
     assert gc.isenabled()
 
 
 def test_held_counts_shared_objects_once() -> None:
     shared = [1000, 2000]
-    assert held([shared, shared]).objects == 4
-    assert held([shared, [1000, 3000]]).objects > 4
+    assert measure_reachable([shared, shared]).objects == 4
+    assert measure_reachable([shared, [1000, 3000]]).objects > 4
 
 
 @pytest.mark.parametrize("role", [module_role, discovery_role, server_role], ids=lambda r: r.ROLE.name)
@@ -120,7 +120,7 @@
 def test_bad_calls_give_one_line_and_start_nothing(
     arguments: tuple[str, ...], named: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Campaign, "measure", lambda *_: pytest.fail("something was measured"))
+    monkeypatch.setattr(MeasurementRun, "measure", lambda *_: pytest.fail("something was measured"))
     code, out, err = run(*arguments)
     assert (code, out) == (2, "")
     assert named in err and err.count("\n") == 1
@@ -129,13 +129,13 @@
 def fixed_role(monkeypatch: pytest.MonkeyPatch, value: float, plots: bool = False) -> None:
     """The first-list role gives this value at the target and measures nothing."""
     if not plots:  # each figure takes half a second
-        monkeypatch.setattr(command_module, "_plot", lambda *_: None)
+        monkeypatch.setattr(command_module, "_save_plots", lambda *_: None)
 
-    def measure(scale: Scale, _: Effort, __: int) -> list[Figure]:
+    def measure(scale: Scale, _: MeasurementBudget, __: int) -> list[Figure]:
         return [Figure("first list, longest wait for /ready", "ms", value * scale.servers / 6_400)]
 
-    role = msgspec.structs.replace(campaign_module.ROLES["first-list"], measure=measure)
-    monkeypatch.setitem(campaign_module.ROLES, "first-list", role)
+    role = msgspec.structs.replace(run_module.ROLES["first-list"], measure=measure)
+    monkeypatch.setitem(run_module.ROLES, "first-list", role)
 
 
 def test_a_missed_bar_gives_exit_1_and_one_line(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -165,15 +165,15 @@
 
 
 def test_a_ratio_bar_passes_by_its_ratio_or_by_being_small_enough() -> None:
-    bar = Bar("module", "m", "text", limit=1.5, reference=BASE, enough=1.0)
+    bar = Bar("module", "m", "text", limit=1.5, reference=BASE, passes_below=1.0)
 
     def judged(reference: float, value: float) -> bool | None:
-        row = judge(bar, lambda _, __, scale: Figure("m", "ms", reference if scale is BASE else value))
+        row = evaluate_bar(bar, lambda _, __, scale: Figure("m", "ms", reference if scale is BASE else value))
         assert row is not None
         return row.passed
 
     assert judged(2.0, 3.0) and not judged(2.0, 3.1) and judged(0.1, 0.9)
-    assert judge(bar, lambda *_: None) is None
+    assert evaluate_bar(bar, lambda *_: None) is None
 
 
 def test_every_bar_names_a_measure_of_its_role() -> None:
@@ -183,11 +183,11 @@
 
 def test_rows_of_zeros_are_not_plotted(tmp_path: Path) -> None:
     row = Row("r", "m", "u", "servers", [1.0, 2.0], [0.0, 0.0], None, None)
-    assert plot([row], tmp_path) == []
+    assert save_plots([row], tmp_path) == []
 
 
 def test_a_campaign_measures_shared_points_once() -> None:
-    tasks = Campaign(Plan(("balancer-idle",), (), quick=False, bars=True, seed=1)).tasks()
+    tasks = MeasurementRun(MeasurementPlan(("balancer-idle",), (), quick=False, bars=True, seed=1)).tasks()
     assert len(tasks) == len(set(tasks))
     assert sum(task.scale == BASE for task in tasks) == 1
     assert sum(task.scale == TARGET for task in tasks) == 1
