--- a/emulator/fleet/discovery.py
+++ b/emulator/fleet/discovery.py
@@ -1,4 +1,4 @@
-"""Stand-in discovery as a process: `python -m emulator.fleet.discovery`, with an agent for each balancer."""
+"""Process of stand-in discovery, with an agent for each balancer: `python -m emulator.fleet.discovery`."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 class DiscoveryProcess:
-    """All agents together: their sockets, their releases and their measures."""
+    """All agents, with their sockets, releases of list versions and measures."""
 
     def __init__(self, fleet: FleetContext) -> None:
         self.fleet = fleet
         self.clock = ScenarioClock(0)
         self.releases = DeadlineHeap()
         self.hollow, self.real = PropagationSeries(), PropagationSeries()
-        self.traffic, self.reported = TrafficCounts(), TrafficCounts()
+        self.traffic, self.reported_traffic = TrafficCounts(), TrafficCounts()
         self.transfers = TransferQueue(self._call_later)
         self.agents = self._create_agents()
         self.deadline_timer: DeadlineTimer | None = None
@@ -66,7 +66,7 @@
         return agents
 
     async def listen(self) -> None:
-        """Listen at the address of each agent; calls before the start are answered too."""
+        """Listen at the address of each agent. Calls are answered from now on, also before `start`."""
         loop = asyncio.get_running_loop()
         for number, agent in enumerate(self.agents):
             address = self.fleet.config.addresses.agent_address(number)
@@ -80,7 +80,7 @@
             )
 
     def start(self, clock: ScenarioClock) -> None:
-        """Release the versions at their times from here on."""
+        """Start to release the versions at their times."""
         self.clock = clock
         self.deadline_timer = DeadlineTimer(asyncio.get_running_loop(), clock.now_s, self.releases)
         for agent in self.agents:
@@ -88,7 +88,7 @@
         self.deadline_timer.rearm()
 
     def apply(self, event: events.Event) -> None:
-        """Outages, silent watches and restarts of balancers; changes of the list are scheduled already."""
+        """Apply outages, silent watches and restarts of balancers; list changes are already scheduled."""
         match event:
             case events.DiscoverySilenced():
                 for agent in self._agents_in(event.regions):
@@ -107,8 +107,8 @@
                     self.agents[number].handle_balancer_restart()
 
     def measure(self, at_s: float) -> None:
-        """Report one second."""
-        now, before = self.traffic, self.reported
+        """Print the measures of one second."""
+        now, before = self.traffic, self.reported_traffic
         print_message(
             DiscoverySecond(
                 at_s=at_s,
@@ -121,12 +121,12 @@
                 real=self.real.take_second(),
             )
         )
-        self.reported = TrafficCounts(
+        self.reported_traffic = TrafficCounts(
             now.calls, now.whole_lists, now.silent_calls, now.sent_bytes, now.received_bytes
         )
 
     def finish(self) -> None:
-        """Report the whole run and close the sockets."""
+        """Print the measures of the whole run and close the sockets."""
         traffic = self.traffic
         print_message(
             DiscoveryTotal(
@@ -145,7 +145,7 @@
         self.close()
 
     def close(self) -> None:
-        """Listen no more and call nothing any more."""
+        """Stop the timer and close all sockets."""
         if self.deadline_timer is not None:
             self.deadline_timer.stop()
         for server in self.servers:
@@ -169,7 +169,7 @@
 
 
 def main() -> int:
-    """Run stand-in discovery until standard input ends."""
+    """Run stand-in discovery until the end of standard input."""
     return run_child(ROLE, DiscoveryProcess)
 
 
--- a/emulator/fleet/discovery_agent.py
+++ b/emulator/fleet/discovery_agent.py
@@ -1,4 +1,4 @@
-"""One agent of stand-in discovery: answers the calls of one balancer, over HTTP/1.1."""
+"""Agent of stand-in discovery, which answers the calls of one balancer over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class TrafficCounts:
-    """What all agents together have been asked and have answered."""
+    """Calls and bytes of all agents together."""
 
     calls: int = 0
     whole_lists: int = 0
@@ -37,20 +37,20 @@
 class DiscoveryCall:
     """One call of a balancer."""
 
-    generation: int | None  # that the balancer has; None: it asks for the whole list
-    hold_ms: int
+    generation: int | None  # of the balancer's list; None: it asks for the full list
+    hold_ms: int  # longest wait of a long poll; 0: answered at once
 
 
 class ResponseSender(Protocol):
-    """Where the answer to a call goes."""
+    """Sends the response to a call."""
 
     def respond(self, body: bytes) -> None:
-        """Send the answer; does nothing if the balancer is gone."""
+        """Send a response with this body, unless the balancer has disconnected."""
 
 
 @dataclass(slots=True, eq=False)
 class PendingLongPoll:
-    """A call that waits for news."""
+    """A call that waits for a change."""
 
     generation: int
     sender: ResponseSender
@@ -58,28 +58,28 @@
 
 @dataclass(slots=True, eq=False)
 class DiscoveryAgent:
-    """Tells one balancer what the replica of its region has released to it."""
+    """Sends to one balancer the list versions that the discovery replica of its region has released."""
 
     encoder: RegionEncoder
     acknowledgements: AcknowledgementTracker
     traffic: TrafficCounts
     releases: DeadlineHeap
     versions: Sequence[ListVersion]
-    visible_at_s: Callable[[float], float]  # when this agent can tell what was released at a time
+    visible_at_s: Callable[[float], float]  # time at which this agent has a version, by release time
     call_later: Callable[[float, Callable[[], None]], object]
     generation: int = FIRST_GENERATION
-    ignores_calls: bool = False  # answers nothing
-    ignores_long_polls: bool = False  # answers no held call
+    ignores_calls: bool = False
+    ignores_long_polls: bool = False
     long_polls: list[PendingLongPoll] = field(default_factory=list)
 
     def schedule_release(self) -> None:
-        """Add the time at which the next version becomes visible here."""
-        upcoming = self.generation - FIRST_GENERATION
-        if upcoming < len(self.versions):
-            self.releases.add(self.visible_at_s(self.versions[upcoming].release_s), self._release)
+        """Schedule the time at which this agent gets the next version."""
+        next_index = self.generation - FIRST_GENERATION
+        if next_index < len(self.versions):
+            self.releases.add(self.visible_at_s(self.versions[next_index].release_s), self._release)
 
     def handle_call(self, call: DiscoveryCall, sender: ResponseSender, now_s: float) -> None:
-        """Answer a call, at once or later, or stay silent."""
+        """Answer a call at once, hold it as a long poll, or ignore it."""
         self.traffic.calls += 1
         if self.ignores_calls or (self.ignores_long_polls and call.hold_ms):
             self.traffic.silent_calls += 1
@@ -96,7 +96,7 @@
             self.call_later(call.hold_ms / 1e3, lambda: self._expire(long_poll))
 
     def stop_responding(self, *, long_polls_only: bool) -> None:
-        """Answer no call any more, or only those that are not held; calls that wait are never answered."""
+        """Ignore all calls, or long polls only. Pending long polls are never answered."""
         if long_polls_only:
             self.ignores_long_polls = True
         else:
@@ -105,7 +105,7 @@
         self.long_polls.clear()
 
     def handle_balancer_restart(self) -> None:
-        """The balancer has ended."""
+        """Forget the pending calls of a balancer that has ended."""
         self.acknowledgements.handle_balancer_restart()
         self.long_polls.clear()
 
@@ -115,7 +115,7 @@
             if self.visible_at_s(version.release_s) > at_s:
                 break
             self.generation = version.generation
-            self.acknowledgements.release(version.generation, at_s)
+            self.acknowledgements.track_release(version.generation, at_s)
         waiting, self.long_polls = self.long_polls, []
         for long_poll in waiting:
             long_poll.sender.respond(self.encoder.delta(long_poll.generation, self.generation))
@@ -128,7 +128,7 @@
 
 
 class AgentConnection(asyncio.Protocol):
-    """One connection of a balancer to its agent."""
+    """Connection of a balancer to its agent."""
 
     def __init__(
         self,
@@ -165,15 +165,15 @@
         self._rearm()
 
     def on_message_begin(self) -> None:
-        """Part of the parser's callbacks."""
+        """Callback of the parser."""
         self._target = b""
 
     def on_url(self, url: bytes) -> None:
-        """Part of the parser's callbacks."""
+        """Callback of the parser."""
         self._target += url
 
     def on_message_complete(self) -> None:
-        """Part of the parser's callbacks."""
+        """Callback of the parser."""
         self._transfers.finish(self)
         call = parse_call(self._target)
         if call is None or self._parser.get_method() != b"GET":
@@ -182,7 +182,7 @@
             self._agent.handle_call(call, self, self._now_s())
 
     def respond(self, body: bytes) -> None:
-        """Part of `Reply`."""
+        """Part of `ResponseSender`."""
         self._transfers.send(self, body)
 
     def has_disconnected(self) -> bool:
@@ -201,7 +201,7 @@
 
 
 def parse_call(target: bytes) -> DiscoveryCall | None:
-    """The call that a request target makes; None if it makes none."""
+    """Parse a request target; None if it is not a valid call."""
     path, _, query = target.partition(b"?")
     if path != ENDPOINTS_PATH:
         return None
--- a/emulator/fleet/discovery_encoding.py
+++ b/emulator/fleet/discovery_encoding.py
@@ -1,4 +1,4 @@
-"""Discovery's answers as bytes: each whole list and each set of changes is encoded once."""
+"""Encodes the responses of discovery; full lists and deltas are cached."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from emulator.fleet.layout import Layout, instance_id
 from emulator.fleet.settings_for_balancers import format_host_port
 
-MAX_CACHED_LISTS = 4  # agents of one region are at most a few versions apart
+MAX_CACHED_LISTS = 4  # per region, whose agents are at most a few versions apart
 MAX_CACHED_DELTAS = 1024
 
 
 class InstanceBuilder:
-    """Turns entries into their published form."""
+    """Builds the published form of list entries."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         ]
 
     def build(self, entry: ListEntry) -> Instance:
-        """One entry in its published form."""
+        """The published form of one entry."""
         place = self._layout.servers[entry.server]
         return Instance(
             instance_id=instance_id(entry.server, entry.replacements),
@@ -57,49 +57,54 @@
 
 
 class RegionEncoder:
-    """The answers that the agents of one region give.
+    """Encodes the responses of the agents of one region.
 
-    A whole list is joined from entries that are encoded already: to encode all of them for each new version
-    would keep every agent from answering in time.
+    A full list is joined from encoded entries. To encode all entries again for each new version would delay
+    the responses of all agents too long.
     """
 
     def __init__(self, versions: Sequence[ListVersion], servers: int, builder: InstanceBuilder) -> None:
         self._versions = versions
         self._builder = builder
-        first = build_full_list(servers, ())
-        self._first_rows = {(entry.server, entry.replacements): self._row(entry) for entry in first}
-        self.full_list = lru_cache(MAX_CACHED_LISTS)(self._full_list)
-        self.delta = lru_cache(MAX_CACHED_DELTAS)(self._delta)
-
-    def _full_list(self, generation: int) -> bytes:
-        """The body of the whole list of a generation."""
-        rows = self._first_rows.copy()
+        initial_entries = build_full_list(servers, ())
+        self._initial_rows = {
+            (entry.server, entry.replacements): self._encode_entry(entry) for entry in initial_entries
+        }
+        self.full_list = lru_cache(MAX_CACHED_LISTS)(self._encode_full_list)
+        self.delta = lru_cache(MAX_CACHED_DELTAS)(self._encode_delta)
+
+    def _encode_full_list(self, generation: int) -> bytes:
+        """Body with the full list of a generation."""
+        rows = self._initial_rows.copy()
         for entry in merge_versions(self._versions[: generation - FIRST_GENERATION]):
             key = (entry.server, entry.replacements)
             if entry.lifecycle is Lifecycle.LEFT:
                 rows.pop(key, None)
             else:
-                rows[key] = self._row(entry)
-        return _listing(generation, b"true", rows.values())
+                rows[key] = self._encode_entry(entry)
+        return _encode_listing(generation, b"true", rows.values())
 
-    def _delta(self, begin: int, end: int) -> bytes:
-        """The body of the changes from one generation to a later one."""
-        between = self._versions[begin - FIRST_GENERATION : end - FIRST_GENERATION]
-        return _listing(end, b"false", map(self._row, merge_versions(between)))
+    def _encode_delta(self, begin: int, end: int) -> bytes:
+        """Body with the changes from one generation to a later one."""
+        versions = self._versions[begin - FIRST_GENERATION : end - FIRST_GENERATION]
+        return _encode_listing(end, b"false", map(self._encode_entry, merge_versions(versions)))
 
-    def _row(self, entry: ListEntry) -> bytes:
+    def _encode_entry(self, entry: ListEntry) -> bytes:
         return msgspec.json.encode(self._builder.build(entry))
 
 
-def _listing(generation: int, reset: bytes, rows: Iterable[bytes]) -> bytes:
-    """`Listing` from entries that are encoded already."""
+def _encode_listing(generation: int, reset: bytes, rows: Iterable[bytes]) -> bytes:
+    """Encode a `Listing` from encoded entries."""
     return b'{"generation":%d,"reset":%s,"instances":[%s]}' % (generation, reset, b",".join(rows))
 
 
 def known_list(
     layout: Layout, addresses: AddressPlan, kinds: Sequence[str], servers: int | None = None
 ) -> Listing:
-    """The list at the start of a run, for a balancer's `known`; of the first servers only, if told."""
+    """Server list at the start of a run, for `known` in a balancer's configuration.
+
+    If `servers` is given, the list has only that many servers, by number.
+    """
     builder = InstanceBuilder(layout, addresses, kinds, lambda _: 0)
     entries = build_full_list(len(layout.servers) if servers is None else servers, ())
     return Listing(FIRST_GENERATION, True, [builder.build(entry) for entry in entries])
--- a/emulator/fleet/discovery_measures.py
+++ b/emulator/fleet/discovery_measures.py
@@ -1,4 +1,4 @@
-"""What stand-in discovery measures: how long each change takes until a balancer has acknowledged it."""
+"""Measures of stand-in discovery: the time from the release of a change to its acknowledgement."""
 
 from __future__ import annotations
 
@@ -7,14 +7,16 @@
 import msgspec
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-MIN_DELAY_US, MAX_DELAY_US, SIGNIFICANT_DIGITS = 1, 120_000_000, 3
+MIN_DELAY_US = 1
+MAX_DELAY_US = 120_000_000
+SIGNIFICANT_DIGITS = 3
 
 
 class Propagation(msgspec.Struct, frozen=True):
-    """Changes told to one kind of balancer; times in milliseconds from release until acknowledged.
+    """Propagation of changes to hollow or to real balancers; times from release to acknowledgement.
 
-    One change counts once for each balancer. `released` is `acknowledged` plus `superseded` (by a restart
-    of the balancer, whose whole list holds the change) plus `pending`.
+    A change counts once for each balancer. `released` is the sum of `acknowledged`, `superseded` (by a
+    restart of the balancer, whose next full list contains the change) and `pending`.
     """
 
     released: int
@@ -27,7 +29,7 @@
 
 
 class DiscoverySecond(msgspec.Struct, frozen=True, tag=True):
-    """One second of the run; `pending` counts all that wait at its end, whenever they were released."""
+    """One second of the run. `pending` counts all changes pending at its end, whenever they were released."""
 
     at_s: float
     calls: int
@@ -40,7 +42,7 @@
 
 
 class DiscoveryTotal(msgspec.Struct, frozen=True, tag=True):
-    """The whole run; `hollow_histogram` and `real_histogram` are encoded HDR histograms in microseconds."""
+    """The whole run. `hollow_histogram` and `real_histogram` are encoded HDR histograms in microseconds."""
 
     at_s: float
     calls: int
@@ -55,19 +57,19 @@
 
 
 class PropagationCounts:
-    """Counts of one kind of balancer over some time."""
+    """Propagation to one kind of balancer over a period of time."""
 
     def __init__(self) -> None:
         self.released = self.acknowledged = self.superseded = 0
         self.histogram = HdrHistogram(MIN_DELAY_US, MAX_DELAY_US, SIGNIFICANT_DIGITS)
 
     def acknowledge(self, delay_s: float) -> None:
-        """One balancer has acknowledged one change."""
+        """Count a change acknowledged by a balancer."""
         self.acknowledged += 1
         self.histogram.record_value(min(MAX_DELAY_US, max(MIN_DELAY_US, round(delay_s * 1e6))))
 
     def summary(self, pending: int) -> Propagation:
-        """The counts as a message."""
+        """The counts as a measure."""
         return Propagation(
             released=self.released,
             acknowledged=self.acknowledged,
@@ -80,40 +82,40 @@
 
 
 class PropagationSeries:
-    """One kind of balancer: the present second, and the whole run."""
+    """Propagation to one kind of balancer (hollow or real), over the current second and over the run."""
 
     def __init__(self) -> None:
         self.second = PropagationCounts()
         self.total = PropagationCounts()
         self.pending = 0
 
-    def released(self) -> None:
-        """One agent has one more change to tell."""
+    def count_released(self) -> None:
+        """Count a change released to a balancer's agent."""
         self.pending += 1
         self.second.released += 1
         self.total.released += 1
 
-    def acknowledged(self, delay_s: float) -> None:
-        """One balancer has acknowledged one change."""
+    def count_acknowledged(self, delay_s: float) -> None:
+        """Count a change acknowledged by a balancer."""
         self.pending -= 1
         self.second.acknowledge(delay_s)
         self.total.acknowledge(delay_s)
 
-    def superseded(self, changes: int) -> None:
-        """A balancer was restarted before it acknowledged some changes."""
+    def count_superseded(self, changes: int) -> None:
+        """Count changes that a balancer did not acknowledge before it was restarted."""
         self.pending -= changes
         self.second.superseded += changes
         self.total.superseded += changes
 
     def take_second(self) -> Propagation:
-        """The present second, of which a new one begins."""
+        """Propagation in the current second; starts a new second."""
         summary = self.second.summary(self.pending)
         self.second = PropagationCounts()
         return summary
 
 
 class AcknowledgementTracker:
-    """The changes that one balancer has been told of and has not acknowledged."""
+    """Tracks the changes released to a balancer which it has not acknowledged."""
 
     def __init__(self, series: PropagationSeries) -> None:
         self._series = series
@@ -121,22 +123,22 @@
         self._has_called = False
 
     def handle_call(self, generation: int | None, now_s: float) -> None:
-        """The balancer called; with a generation it acknowledges everything up to it."""
+        """Handle a call of the balancer; its generation acknowledges all changes up to this generation."""
         self._has_called = True
         while generation is not None and self._pending and self._pending[0][0] <= generation:
             _, released_s = self._pending.popleft()
-            self._series.acknowledged(now_s - released_s)
+            self._series.count_acknowledged(now_s - released_s)
 
-    def release(self, generation: int, now_s: float) -> None:
-        """There is one more change to tell; one that comes before the first call is superseded by it."""
-        self._series.released()
+    def track_release(self, generation: int, now_s: float) -> None:
+        """Track a released change; before the balancer's first call, count it as superseded."""
+        self._series.count_released()
         if self._has_called:
             self._pending.append((generation, now_s))
         else:
-            self._series.superseded(1)
+            self._series.count_superseded(1)
 
     def handle_balancer_restart(self) -> None:
-        """The balancer is gone with all that it knew."""
-        self._series.superseded(len(self._pending))
+        """Count the pending changes as superseded: the balancer has ended and its list is lost."""
+        self._series.count_superseded(len(self._pending))
         self._pending.clear()
         self._has_called = False
--- a/emulator/fleet/discovery_transfers.py
+++ b/emulator/fleet/discovery_transfers.py
@@ -1,8 +1,8 @@
-"""Whole lists are sent to a few balancers at a time.
+"""Sends full lists to a few balancers at a time.
 
-Each agent of a real fleet answers on a machine of its own. Here all of them, and many balancers, share a few
-processes: when all ask at once, a list of a megabyte for each would arrive everywhere too late, all calls
-would be given up, and all would ask again.
+Each agent of a real fleet runs on its own machine. In the emulator all agents and many balancers share a few
+processes. If all balancers ask for the full list at once, a list of a megabyte for each would arrive too late
+everywhere: all calls would time out, and all balancers would ask again.
 """
 
 from __future__ import annotations
@@ -11,23 +11,26 @@
 from functools import partial
 from typing import Protocol
 
-LARGE_RESPONSE_BYTES = 64 * 1024  # bytes from which an answer waits for its turn
+LARGE_RESPONSE_BYTES = 64 * 1024  # a response of at least this size waits for a slot
 MAX_CONCURRENT_TRANSFERS = 8
-TRANSFER_SLOT_S = 0.1  # after which a balancer that has not called again no longer holds up others
+TRANSFER_SLOT_S = 0.1  # a slot is freed after this time if its balancer has not called again
 
 
 class Receiver(Protocol):
-    """A connection that an answer is written to."""
+    """Connection that a response is written to."""
 
     def has_disconnected(self) -> bool:
-        """Whether the balancer has closed the connection, be it that the event loop has not seen it yet."""
+        """Whether the balancer has closed the connection, even if the event loop has not noticed it yet."""
 
     def write(self, body: bytes) -> None:
-        """Write the answer with this body; does nothing if the connection is gone."""
+        """Write a response with this body, unless the connection is closed."""
 
 
 class TransferQueue:
-    """Gives turns to large answers, the newest first: the oldest calls are about to be given up."""
+    """Limits the number of concurrent large responses.
+
+    The newest call gets the next slot, as the oldest calls are about to time out.
+    """
 
     def __init__(self, call_later: Callable[[float, Callable[[], None]], object]) -> None:
         self._call_later = call_later
@@ -35,7 +38,7 @@
         self._active: dict[Receiver, object] = {}
 
     def send(self, receiver: Receiver, body: bytes) -> None:
-        """Write an answer now, or when its turn comes."""
+        """Write a response at once if it is small or a slot is free, else when it gets a slot."""
         if len(body) < LARGE_RESPONSE_BYTES:
             receiver.write(body)
             return
@@ -43,7 +46,7 @@
         self._start_next()
 
     def finish(self, receiver: Receiver) -> None:
-        """The receiver has called again, or is gone."""
+        """Free the slot of a receiver that has called again or disconnected; drop its waiting response."""
         self._waiting.pop(receiver, None)
         if self._active.pop(receiver, None) is not None:
             self._start_next()
