--- a/emulator/fleet/plots.py
+++ b/emulator/fleet/plots.py
@@ -10,7 +10,7 @@
 
 matplotlib.use("Agg")
 
-from matplotlib.axes import Axes  # noqa: E402  # the backend is chosen first
+from matplotlib.axes import Axes  # noqa: E402  # after the choice of the backend
 from matplotlib.figure import Figure  # noqa: E402
 
 from emulator.fleet.measures import REQUEST_OUTCOMES, ClientMeasure, HollowMeasure, ProcessMeasure  # noqa: E402
@@ -28,7 +28,7 @@
 )
 
 WIDTH_IN, HEIGHT_IN = 10.0, 4.0
-MARKED = (
+MARKED_EVENTS = (
     BalancersStopped,
     DiscoverySilenced,
     RegionsSplit,
@@ -37,39 +37,39 @@
     ServersVanished,
     WatchesSilenced,
 )
-MOST_MARKS = 40  # with more, only events that concern many members are marked
+MAX_MARKS = 40  # with more events, only those that concern MANY_MEMBERS or more are marked
 MANY_MEMBERS = 10
 
 
 def write_plots(record: RunRecord) -> None:
-    """Write all plots into the run's folder."""
+    """Write all plots to the folder of the run."""
     events = _marked_events(record)
-    _plot_change(record, events)
+    _plot_changes_in_force(record, events)
     _plot_cost(record, events)
     _plot_latency(record, events)
-    _plot_ends(record, events)
+    _plot_request_outcomes(record, events)
 
 
 def _marked_events(record: RunRecord) -> list[Event]:
-    marked: list[Event] = [event for event in record.played_events() if isinstance(event, MARKED)]
-    if len(marked) > MOST_MARKS:
-        marked = [event for event in marked if _members(event) >= MANY_MEMBERS]
+    marked: list[Event] = [event for event in record.played_events() if isinstance(event, MARKED_EVENTS)]
+    if len(marked) > MAX_MARKS:
+        marked = [event for event in marked if _count_members(event) >= MANY_MEMBERS]
     return marked
 
 
-def _members(event: Event) -> int:
-    concerned: tuple[int, ...] = getattr(event, "servers", None) or getattr(event, "balancers", None) or ()
-    return len(concerned) or MANY_MEMBERS  # regions are large
+def _count_members(event: Event) -> int:
+    members: tuple[int, ...] = getattr(event, "servers", None) or getattr(event, "balancers", None) or ()
+    return len(members) or MANY_MEMBERS  # events of regions name no members, and regions are large
 
 
 def _save(figure: Figure, axes: list[Axes], events: list[Event], path: Path) -> None:
-    for one in axes:
+    for plot in axes:
         for event in events:
-            one.axvline(event.at_s, color="0.8", linewidth=0.8, zorder=0)
-        one.set_xlabel("seconds")
-        handles, _ = one.get_legend_handles_labels()
+            plot.axvline(event.at_s, color="0.8", linewidth=0.8, zorder=0)
+        plot.set_xlabel("seconds")
+        handles, _ = plot.get_legend_handles_labels()
         if handles:
-            one.legend(fontsize="small", loc="upper left")
+            plot.legend(fontsize="small", loc="upper left")
     for event in events:
         name = type(event).__name__
         axes[0].annotate(name, (event.at_s, 1), xycoords=("data", "axes fraction"), rotation=30, fontsize=5)
@@ -78,17 +78,24 @@
     figure.savefig(path, dpi=100)
 
 
-def _plot_change(record: RunRecord, events: list[Event]) -> None:
+def _plot_changes_in_force(record: RunRecord, events: list[Event]) -> None:
     figure = Figure(figsize=(WIDTH_IN, HEIGHT_IN))
     axes = figure.add_subplot()
     seconds = [
-        line for line in record.stand_in_measures.get(DISCOVERY_ROLE, []) if line["type"] == "DiscoverySecond"
+        measure
+        for measure in record.stand_in_measures.get(DISCOVERY_ROLE, [])
+        if measure["type"] == "DiscoverySecond"
     ]
     for kind in ("hollow", "real"):
-        told = [line for line in seconds if line[kind]["acknowledged"]]
+        measured_seconds = [measure for measure in seconds if measure[kind]["acknowledged"]]
         for key, style in (("p50_ms", "-"), ("p99_ms", "--"), ("max_ms", ":")):
-            times = [line["at_s"] for line in told]
-            axes.plot(times, [line[kind][key] / 1e3 for line in told], style, label=f"{kind} {key[:3]}")
+            times = [measure["at_s"] for measure in measured_seconds]
+            axes.plot(
+                times,
+                [measure[kind][key] / 1e3 for measure in measured_seconds],
+                style,
+                label=f"{kind} {key[:3]}",
+            )
     axes.set_ylabel("change in force after its release, s")
     axes.set_yscale("symlog", linthresh=0.01)
     _save(figure, [axes], events, record.folder / "change_in_force.png")
@@ -102,29 +109,31 @@
         ("memory of one process, MB", lambda measure: measure.resident_mb),
         ("log of one process, KB/s", lambda measure: measure.log_bytes_per_s / 1e3),
     ]
-    for one, (name, value) in zip(axes, quantities, strict=True):
+    for plot, (name, value) in zip(axes, quantities, strict=True):
         for role in sorted({measure.role for measure in record.processes}):
             seconds: dict[int, list[float]] = defaultdict(list)
             for measure in record.processes:
                 if measure.role == role:
                     seconds[round(measure.at_s)].append(value(measure))
             times = sorted(seconds)
-            one.plot(times, [sum(seconds[at]) / len(seconds[at]) for at in times], label=role)
-        one.set_ylabel(name)
-    moved_at, per_balancer = _discovery_bytes(record)
-    axes[-1].plot(moved_at, per_balancer, "--", label="discovery and one balancer")
+            plot.plot(times, [sum(seconds[at]) / len(seconds[at]) for at in times], label=role)
+        plot.set_ylabel(name)
+    discovery_times, kb_per_s = _discovery_bytes(record)
+    axes[-1].plot(discovery_times, kb_per_s, "--", label="discovery and one balancer")
     axes[-1].set_ylabel("log of one process, network: KB/s")
     _save(figure, axes, events, record.folder / "cost_by_role.png")
 
 
 def _discovery_bytes(record: RunRecord) -> tuple[list[float], list[float]]:
-    """Times, and KB/s between discovery and one balancer."""
+    """Times, and KB/s between discovery and one balancer on average."""
     seconds = [
-        line for line in record.stand_in_measures.get(DISCOVERY_ROLE, []) if line["type"] == "DiscoverySecond"
+        measure
+        for measure in record.stand_in_measures.get(DISCOVERY_ROLE, [])
+        if measure["type"] == "DiscoverySecond"
     ]
     total = record.scenario.balancers.total
-    moved = [(line["sent_bytes"] + line["received_bytes"]) / 1e3 / total for line in seconds]
-    return [line["at_s"] for line in seconds], moved
+    kb_per_s = [(measure["sent_bytes"] + measure["received_bytes"]) / 1e3 / total for measure in seconds]
+    return [measure["at_s"] for measure in seconds], kb_per_s
 
 
 def _plot_latency(record: RunRecord, events: list[Event]) -> None:
@@ -136,20 +145,22 @@
     ]
     for name, measures in sources:
         for index in sorted({measure.index for measure in measures}):
-            own = [measure for measure in measures if measure.index == index]
-            times = [measure.at_s for measure in own]
+            of_process = [measure for measure in measures if measure.index == index]
+            times = [measure.at_s for measure in of_process]
             label = f"{name} {index}"
-            axes[0].plot(times, [measure.added.p50_us / 1e3 for measure in own], label=f"{label} p50")
-            axes[0].plot(times, [measure.added.p99_us / 1e3 for measure in own], "--", label=f"{label} p99")
-            axes[1].plot(times, [measure.lag.p99_us / 1e3 for measure in own], label=f"{label} p99")
+            axes[0].plot(times, [measure.added.p50_us / 1e3 for measure in of_process], label=f"{label} p50")
+            axes[0].plot(
+                times, [measure.added.p99_us / 1e3 for measure in of_process], "--", label=f"{label} p99"
+            )
+            axes[1].plot(times, [measure.lag.p99_us / 1e3 for measure in of_process], label=f"{label} p99")
     axes[0].set_ylabel("added latency, ms")
-    axes[1].set_ylabel("arrivals taken late by, ms")
-    for one in axes:
-        one.set_yscale("symlog", linthresh=1)
+    axes[1].set_ylabel("lag of arrivals, ms")
+    for plot in axes:
+        plot.set_yscale("symlog", linthresh=1)
     _save(figure, axes, events, record.folder / "latency.png")
 
 
-def _plot_ends(record: RunRecord, events: list[Event]) -> None:
+def _plot_request_outcomes(record: RunRecord, events: list[Event]) -> None:
     figure = Figure(figsize=(WIDTH_IN, HEIGHT_IN))
     axes = figure.add_subplot()
     seconds: dict[int, dict[str, int]] = defaultdict(lambda: defaultdict(int))
--- a/emulator/fleet/report.py
+++ b/emulator/fleet/report.py
@@ -1,4 +1,4 @@
-"""What a run leaves: its files in a folder, and a table or plain lines for whoever called it."""
+"""The report of a run: files in its folder, and a table or plain lines on the console."""
 
 from __future__ import annotations
 
@@ -13,15 +13,17 @@
 
 SUMMARY_FILE = "summary.json"
 US_PER_MS = 1e3
-# What the added latency is measured from: of a hollow balancer's attempt only the work is known.
-ADDED_TO = {"hollow": "an idle server's time", "real": "the time at the server"}
+# The time that the added latency is measured against. For an attempt of a hollow balancer only its work is
+# known, not the time that it spent at the server.
+LATENCY_BASE_BY_KIND = {"hollow": "an idle server's time", "real": "the time at the server"}
 
 Row = tuple[str, str]  # name and value
 
 
 def write_report(record: RunRecord) -> Summary:
-    """Write everything but the measures, which are on disk already; the run's figures."""
-    from emulator.fleet.plots import write_plots  # matplotlib loads slowly: not for a bad call
+    """Write all files except the measures, which are written during the run; returns the figures."""
+    # Imported here, as matplotlib loads slowly and is not needed for an invalid call.
+    from emulator.fleet.plots import write_plots
 
     record.write_events()
     summary = summarize_run(record)
@@ -32,8 +34,8 @@
 
 
 def print_summary(summary: Summary, console: Console) -> None:
-    """A table where a person watches, else one plain line for each figure."""
-    rows = list(_rows(summary))
+    """Print a table on a terminal, else one plain line for each figure."""
+    rows = list(_build_rows(summary))
     if not console.is_terminal:
         for name, value in rows:
             console.print(f"{name}: {value}", markup=False, highlight=False, soft_wrap=True)
@@ -44,7 +46,7 @@
     console.print(table)
 
 
-def _rows(summary: Summary) -> Iterator[Row]:
+def _build_rows(summary: Summary) -> Iterator[Row]:
     yield (
         "scenario time",
         f"{summary.elapsed_s:.1f} of {summary.planned_s:g} s, ready in {summary.starting_s:.1f} s",
@@ -52,16 +54,16 @@
     yield "time compression", f"{summary.time_compression:g}"
     if summary.interrupted:
         yield "interrupted", "yes"
-    yield from _change_rows(summary)
+    yield from _build_change_rows(summary)
     for name, figures in (("hollow", summary.hollow), ("real", summary.real)):
         if figures is not None:
-            yield from _request_rows(name, figures)
-    yield from _decision_rows(summary)
+            yield from _build_request_rows(name, figures)
+    yield from _build_decision_rows(summary)
     for name, ready in (("hollow", summary.hollow_ready), ("real", summary.real_ready)):
         if ready is not None:
-            yield f"{name} balancers restarted", _ready_text(ready)
+            yield f"{name} balancers restarted", _format_starts(ready)
     for role, role_figures in sorted(summary.roles.items()):
-        yield f"role {role}", _role_text(role_figures)
+        yield f"role {role}", _format_role(role_figures)
     for note in summary.notes:
         yield "note", note
     for bar in summary.bars:
@@ -69,7 +71,7 @@
         yield f"bar: {bar.name}", f"{value}, at most {bar.limit:g}: {'holds' if bar.holds else 'MISSED'}"
 
 
-def _change_rows(summary: Summary) -> Iterator[Row]:
+def _build_change_rows(summary: Summary) -> Iterator[Row]:
     change = summary.change
     if change.p50_s is not None and change.p99_s is not None and change.max_s is not None:
         yield (
@@ -79,7 +81,7 @@
         )
 
 
-def _request_rows(name: str, figures: RequestFigures) -> Iterator[Row]:
+def _build_request_rows(name: str, figures: RequestFigures) -> Iterator[Row]:
     yield (
         f"{name} requests a second",
         f"{figures.asked_per_s:.0f} asked, {figures.carried_per_s:.0f} carried, "
@@ -87,16 +89,16 @@
     )
     yield f"{name} requests by end", ", ".join(f"{end} {count}" for end, count in figures.ended.items())
     yield (
-        f"{name} added latency, beyond {ADDED_TO[name]}",
-        _latency_text(figures.added.p50_us, figures.added.p99_us, figures.added.max_us),
+        f"{name} added latency, beyond {LATENCY_BASE_BY_KIND[name]}",
+        _format_latency(figures.added.p50_us, figures.added.p99_us, figures.added.max_us),
     )
     yield (
         f"{name} arrivals late by",
-        _latency_text(figures.lag.p50_us, figures.lag.p99_us, figures.lag.max_us),
+        _format_latency(figures.lag.p50_us, figures.lag.p99_us, figures.lag.max_us),
     )
 
 
-def _decision_rows(summary: Summary) -> Iterator[Row]:
+def _build_decision_rows(summary: Summary) -> Iterator[Row]:
     decisions, tenants = summary.decisions, summary.tenants
     if decisions is not None:
         yield (
@@ -114,20 +116,20 @@
         )
 
 
-def _latency_text(p50_us: int, p99_us: int, max_us: int) -> str:
+def _format_latency(p50_us: int, p99_us: int, max_us: int) -> str:
     return (
         f"p50 {p50_us / US_PER_MS:.2f} ms, p99 {p99_us / US_PER_MS:.2f} ms, max {max_us / US_PER_MS:.1f} ms"
     )
 
 
-def _ready_text(ready: ReadyFigures) -> str:
+def _format_starts(ready: ReadyFigures) -> str:
     text = f"{ready.starts}, ready in p50 {ready.p50_ms:.0f} ms, max {ready.max_ms:.0f} ms"
     if ready.longest_wait_ms:
-        text += f", after {ready.longest_wait_ms:.0f} ms at most for a turn in their process"
+        text += f", after waiting at most {ready.longest_wait_ms:.0f} ms for other starts in their process"
     return text
 
 
-def _role_text(figures: RoleFigures) -> str:
+def _format_role(figures: RoleFigures) -> str:
     network = figures.network_bytes_per_s
     text = "" if network is None else f", network {network / 1e3:.0f} KB/s in all"
     return (
--- a/emulator/fleet/scenario.py
+++ b/emulator/fleet/scenario.py
@@ -74,7 +74,7 @@
 
 
 class ColdStart(ScenarioModel):
-    """How a server warms up after its start, and which overload makes it fail meanwhile."""
+    """How a server warms up after its start, and which overload makes it crash meanwhile."""
 
     from_share: Annotated[float, Field(gt=0, le=1)]  # share of its capacity at its start
     warm_s: Positive
--- a/emulator/fleet/stand_in_figures.py
+++ b/emulator/fleet/stand_in_figures.py
@@ -1,4 +1,4 @@
-"""Figures of a run that come from the stand-ins: discovery and the photo servers."""
+"""Figures of a run from the measures of the stand-ins: discovery and the photo servers."""
 
 from __future__ import annotations
 
@@ -19,43 +19,43 @@
 
 DISCOVERY_ROLE = "discovery"
 PHOTO_SERVERS_ROLE = "photo_servers"
-RECOVERY_S = 5.0  # after a disturbance is over
+RECOVERY_TIME_S = 5.0  # after the end of a disturbance; changes in it do not count as calm
 
-# What begins and ends a time in which discovery can't reach all balancers.
-_DISTURBS = DiscoverySilenced | WatchesSilenced | RegionsSplit | BalancersStopped
-_MENDS = DiscoveryReturned | WatchesReturned | RegionsHealed | BalancersStarted
+# Events that begin and end a disturbance, in which discovery cannot reach all balancers.
+_DISTURBANCE_BEGINS = DiscoverySilenced | WatchesSilenced | RegionsSplit | BalancersStopped
+_DISTURBANCE_ENDS = DiscoveryReturned | WatchesReturned | RegionsHealed | BalancersStarted
 
 
 class ChangeInForce(msgspec.Struct, frozen=True):
-    """From a change's release at discovery until a balancer acknowledges it; None where none was measured."""
+    """Time from a change's release at discovery until a balancer acknowledges it; None if not measured."""
 
     acknowledged: int
     pending: int  # at the end
     p50_s: float | None
     p99_s: float | None
     max_s: float | None
-    calm_p99_s: float | None  # of the worst second in which nothing was down
+    calm_p99_s: float | None  # of the worst second without a disturbance
 
 
 class ServerFigures(msgspec.Struct, frozen=True):
-    """What the photo servers tell."""
+    """Figures of the photo servers."""
 
-    pushed_over: float | None  # cold servers that fell over
+    pushed_over: float | None  # cold servers that crashed by overload; None if not measured
 
 
 def summarize_changes(record: RunRecord) -> ChangeInForce:
-    """Over both kinds of balancers, from discovery's own measures."""
-    lines = record.stand_in_measures.get(DISCOVERY_ROLE, [])
-    seconds = [line for line in lines if line["type"] == "DiscoverySecond"]
-    total = next((line for line in lines if line["type"] == "DiscoveryTotal"), None)
+    """Summarize the changes over hollow and real balancers, from the measures of discovery."""
+    measures = record.stand_in_measures.get(DISCOVERY_ROLE, [])
+    seconds = [measure for measure in measures if measure["type"] == "DiscoverySecond"]
+    total = next((measure for measure in measures if measure["type"] == "DiscoveryTotal"), None)
     groups = [total[kind] for kind in ("hollow", "real")] if total is not None else []
     groups = [group for group in groups if group["acknowledged"]]
-    spans = _disturbed_spans(record.played_events())
-    calm = [
-        line[kind]["p99_ms"] / 1e3
-        for line in seconds
+    disturbed_spans = _disturbed_spans(record.played_events())
+    calm_seconds_p99_s = [
+        measure[kind]["p99_ms"] / 1e3
+        for measure in seconds
         for kind in ("hollow", "real")
-        if line[kind]["acknowledged"] and not _within(spans, line["at_s"])
+        if measure[kind]["acknowledged"] and not _overlaps_any(disturbed_spans, measure["at_s"])
     ]
     return ChangeInForce(
         acknowledged=sum(group["acknowledged"] for group in groups),
@@ -63,45 +63,47 @@
         p50_s=max((group["p50_ms"] / 1e3 for group in groups), default=None),
         p99_s=max((group["p99_ms"] / 1e3 for group in groups), default=None),
         max_s=max((group["max_ms"] / 1e3 for group in groups), default=None),
-        calm_p99_s=max(calm, default=None),
+        calm_p99_s=max(calm_seconds_p99_s, default=None),
     )
 
 
 def mean_discovery_bytes_per_s(record: RunRecord) -> float | None:
-    """Bytes between discovery and all balancers in a second, on average."""
-    lines = [
-        line for line in record.stand_in_measures.get(DISCOVERY_ROLE, []) if line["type"] == "DiscoverySecond"
+    """Mean number of bytes per second between discovery and all balancers, both directions."""
+    measures = [
+        measure
+        for measure in record.stand_in_measures.get(DISCOVERY_ROLE, [])
+        if measure["type"] == "DiscoverySecond"
     ]
-    if not lines:
+    if not measures:
         return None
-    moved = sum(line["sent_bytes"] + line["received_bytes"] for line in lines)
-    return float(moved) / len(lines)
+    moved = sum(measure["sent_bytes"] + measure["received_bytes"] for measure in measures)
+    return float(moved) / len(measures)
 
 
 def summarize_servers(record: RunRecord) -> ServerFigures:
-    """Over all shards."""
-    lines = record.stand_in_measures.get(PHOTO_SERVERS_ROLE, [])
-    if not lines:
+    """Summarize the measures of all shards of photo servers."""
+    measures = record.stand_in_measures.get(PHOTO_SERVERS_ROLE, [])
+    if not measures:
         return ServerFigures(pushed_over=None)
-    falls = sum(len(line["falls"]) for line in lines if line["type"] == "PhotoServersSecond")
+    falls = sum(len(measure["falls"]) for measure in measures if measure["type"] == "PhotoServersSecond")
     return ServerFigures(pushed_over=float(falls))
 
 
 def _disturbed_spans(events: list[Event]) -> list[tuple[float, float]]:
-    """Begin and end of each stretch in which something keeps a change from some balancers."""
-    spans, open_since, disturbed = [], 0.0, 0
+    """Begin and end of each disturbance, with the recovery after it."""
+    disturbed_spans, disturbed_since_s, open_disturbances = [], 0.0, 0
     for event in events:
-        if isinstance(event, _DISTURBS):
-            open_since = event.at_s if disturbed == 0 else open_since
-            disturbed += 1
-        elif isinstance(event, _MENDS):
-            disturbed -= 1
-            if disturbed == 0:
-                spans.append((open_since, event.at_s + RECOVERY_S))
-    if disturbed:
-        spans.append((open_since, float("inf")))
-    return spans
-
-
-def _within(spans: list[tuple[float, float]], second_end_s: float) -> bool:
-    return any(begin <= second_end_s and second_end_s - 1 <= end for begin, end in spans)
+        if isinstance(event, _DISTURBANCE_BEGINS):
+            disturbed_since_s = event.at_s if open_disturbances == 0 else disturbed_since_s
+            open_disturbances += 1
+        elif isinstance(event, _DISTURBANCE_ENDS):
+            open_disturbances -= 1
+            if open_disturbances == 0:
+                disturbed_spans.append((disturbed_since_s, event.at_s + RECOVERY_TIME_S))
+    if open_disturbances:
+        disturbed_spans.append((disturbed_since_s, float("inf")))
+    return disturbed_spans
+
+
+def _overlaps_any(disturbed_spans: list[tuple[float, float]], second_end_s: float) -> bool:
+    return any(begin <= second_end_s and second_end_s - 1 <= end for begin, end in disturbed_spans)
--- a/emulator/fleet/summary.py
+++ b/emulator/fleet/summary.py
@@ -1,4 +1,4 @@
-"""The figures of a whole run, worked out from its measures, and the bars that they are held against."""
+"""The figures of a whole run, computed from its measures, and the bars that they have to hold."""
 
 from __future__ import annotations
 
@@ -26,19 +26,21 @@
 BALANCER_ROLE, HOLLOW_ROLE = "balancer", "hollow"
 
 CHANGE_BAR_S = 4.0
-CPU_SHARE_BAR = 0.023
+CPU_CORES_BAR = 0.023
 MEMORY_BAR_MB = 32.0
-BYTES_BAR_PER_S = 4000.0
-ADDED_BAR_MS = 6.8
-CARRIED_SHARE = 0.97  # of the scenario's requests: with less the machine did not carry it
-LAG_LIMIT_MS = 20.0  # p99 of how late arrivals were taken: with more latencies show the machine, too
+DISCOVERY_BYTES_PER_S_BAR = 4000.0
+ADDED_LATENCY_BAR_MS = 6.8
+MIN_CARRIED_SHARE = 0.97  # of the scenario's requests; with less, the machine was too slow for the scenario
+# p99 of how late requests start after their arrival was due; with more, the latencies include delays of the
+# machine.
+MAX_ARRIVAL_LAG_MS = 20.0
 
 
 class RequestFigures(msgspec.Struct, frozen=True):
-    """Requests over the whole run, of the hollow or of the real balancers."""
+    """Requests of the whole run, at the hollow or at the real balancers."""
 
-    asked_per_s: float  # by the scenario
-    carried_per_s: float  # made in time, of those asked; the machine was too slow for the others
+    asked_per_s: float  # requested by the scenario
+    carried_per_s: float  # of these, started in time; the machine was too slow for the others
     ended: dict[str, int]
     tries_per_request: float
     added: LatencySummary
@@ -46,18 +48,21 @@
 
 
 class DecisionFigures(msgspec.Struct, frozen=True):
-    """What the decision module costs in the hollow balancers."""
+    """Costs of the decision module in the hollow balancers."""
 
     attempts_per_request: float
     cancels_per_request: float
     not_sent_per_request: float
     cpu_us_per_request: float
     log_bytes_per_s: float  # of one balancer
-    resident_mb_per_balancer: float | None  # of the worker's whole memory
+    resident_mb_per_balancer: float | None  # memory of a worker, divided by its balancers
 
 
 class TenantFigures(msgspec.Struct, frozen=True):
-    """Requests of the followed tenants that are within their quotas, split evenly or over the whole fleet."""
+    """Requests of the tracked tenants, and how many of them are within the tenants' quotas.
+
+    The quotas are split evenly over the balancers, or kept for the whole fleet.
+    """
 
     followed: int
     asked: int
@@ -66,16 +71,16 @@
 
 
 class ReadyFigures(msgspec.Struct, frozen=True):
-    """From a balancer's start until it is ready, restarts alone."""
+    """Time from a balancer's start until it is ready; only restarts count."""
 
     starts: int
     p50_ms: float
     max_ms: float
-    longest_wait_ms: float  # for its turn in a worker, which only hollow ones have
+    longest_wait_ms: float  # of a hollow balancer for other starts in its worker; 0 for real ones
 
 
 class RoleFigures(msgspec.Struct, frozen=True):
-    """What the processes of one role use, each on average and the largest at its peak."""
+    """Resources used by the processes of one role: the mean of a process and the maximum of all."""
 
     processes: int
     cpu_share: float
@@ -83,11 +88,11 @@
     resident_mb: float
     resident_mb_max: float
     log_bytes_per_s: float
-    network_bytes_per_s: float | None  # of all its processes, sent and received; None where nobody counts
+    network_bytes_per_s: float | None  # of all its processes, both directions; None if not measured
 
 
 class Bar(msgspec.Struct, frozen=True):
-    """One figure and the most that it may be; `value` is None where the run did not measure it."""
+    """One figure and its upper limit; `value` is None if the run did not measure the figure."""
 
     name: str
     value: float | None
@@ -96,12 +101,12 @@
 
     @property
     def holds(self) -> bool:
-        """A figure that was not measured does not hold."""
+        """Whether the figure is within its limit; false if it was not measured."""
         return self.value is not None and self.value <= self.limit
 
 
 class Summary(msgspec.Struct, frozen=True):
-    """Everything that a run has shown, in figures."""
+    """All figures of a run."""
 
     scenario: str
     seed: int
@@ -111,7 +116,7 @@
     time_compression: float
     interrupted: bool
     dead: list[str]
-    notes: list[str]  # what limits how far the figures may be trusted
+    notes: list[str]  # reasons why the figures may be unreliable
     change: ChangeInForce
     hollow: RequestFigures | None
     real: RequestFigures | None
@@ -120,16 +125,16 @@
     hollow_ready: ReadyFigures | None
     real_ready: ReadyFigures | None
     roles: dict[str, RoleFigures]
-    discovery_bytes_per_s: float | None  # to and from one balancer
+    discovery_bytes_per_s: float | None  # of one balancer, both directions
     servers: ServerFigures
     unsound_answers: int
     bars: list[Bar]
 
 
 def summarize_run(record: RunRecord) -> Summary:
-    """Work out the figures of a run, be it whole or cut short."""
-    hollow, real = _hollow_requests(record), _real_requests(record)
-    roles = _roles(record)
+    """Compute the figures of a complete or an interrupted run."""
+    hollow, real = _summarize_hollow_requests(record), _summarize_real_requests(record)
+    roles = _summarize_roles(record)
     change = summarize_changes(record)
     servers = summarize_servers(record)
     discovery_bytes = mean_discovery_bytes_per_s(record)
@@ -144,41 +149,43 @@
         time_compression=record.scenario.time_compression,
         interrupted=record.interrupted,
         dead=[dead.name for dead in record.failed_processes],
-        notes=_notes(hollow, real),
+        notes=_find_notes(hollow, real),
         change=change,
         hollow=hollow,
         real=real,
-        decisions=_decisions(record.hollow, roles.get(HOLLOW_ROLE)),
-        tenants=_tenants(record),
-        hollow_ready=_hollow_ready(record.hollow),
-        real_ready=_ready(record.real_ready_ms, []),
+        decisions=_summarize_decisions(record.hollow, roles.get(HOLLOW_ROLE)),
+        tenants=_summarize_tenants(record),
+        hollow_ready=_summarize_hollow_starts(record.hollow),
+        real_ready=_summarize_starts(record.real_ready_ms, []),
         roles=roles,
         discovery_bytes_per_s=per_balancer,
         servers=servers,
         unsound_answers=sum(measure.unsound_answers for measure in record.clients),
-        bars=_bars(change, roles, per_balancer, real, servers, len(record.failed_processes)),
+        bars=_build_bars(change, roles, per_balancer, real, servers, len(record.failed_processes)),
     )
 
 
 # ---- requests ----
 
 
-def _hollow_requests(record: RunRecord) -> RequestFigures | None:
+def _summarize_hollow_requests(record: RunRecord) -> RequestFigures | None:
     real = range(record.scenario.balancers.real)
-    return _requests(record, record.hollow, 1 - _share_of(record, real))
+    return _summarize_requests(record, record.hollow, 1 - _traffic_share_of(record, real))
 
 
-def _real_requests(record: RunRecord) -> RequestFigures | None:
-    return _requests(record, record.clients, _share_of(record, range(record.scenario.balancers.real)))
+def _summarize_real_requests(record: RunRecord) -> RequestFigures | None:
+    return _summarize_requests(
+        record, record.clients, _traffic_share_of(record, range(record.scenario.balancers.real))
+    )
 
 
-def _share_of(record: RunRecord, balancers: Iterable[int]) -> float:
+def _traffic_share_of(record: RunRecord, balancers: Iterable[int]) -> float:
     layout, zones = build_layout(record.scenario, record.seed), record.scenario.zones()
     members = layout.balancer_zones
     return sum(zones[members[n]].traffic_share / members.count(members[n]) for n in balancers)
 
 
-def _requests(
+def _summarize_requests(
     record: RunRecord, measures: list[HollowMeasure] | list[ClientMeasure], share: float
 ) -> RequestFigures | None:
     if not measures:
@@ -197,50 +204,50 @@
     )
 
 
-def _notes(hollow: RequestFigures | None, real: RequestFigures | None) -> list[str]:
+def _find_notes(hollow: RequestFigures | None, real: RequestFigures | None) -> list[str]:
     notes = []
     for name, figures in (("hollow", hollow), ("real", real)):
         if figures is None:
             continue
         carried, asked, lag_ms = figures.carried_per_s, figures.asked_per_s, figures.lag.p99_us / 1e3
-        if carried < CARRIED_SHARE * asked:
+        if carried < MIN_CARRIED_SHARE * asked:
             notes.append(f"{name}: this machine carried {carried:.0f} of {asked:.0f} requests a second")
-        if lag_ms > LAG_LIMIT_MS:
+        if lag_ms > MAX_ARRIVAL_LAG_MS:
             notes.append(f"{name}: arrivals were taken late, p99 {lag_ms:.0f} ms: latencies show it too")
     return notes
 
 
-def _decisions(measures: list[HollowMeasure], role: RoleFigures | None) -> DecisionFigures | None:
+def _summarize_decisions(measures: list[HollowMeasure], role: RoleFigures | None) -> DecisionFigures | None:
     carried = sum(measure.requests.asked - measure.requests.missed for measure in measures)
     if not carried:
         return None
     balancer_seconds = sum(measure.balancers for measure in measures)
-    hosted = max(measure.balancers for measure in measures)  # by one process
+    balancers_per_process = max(measure.balancers for measure in measures)
     return DecisionFigures(
         attempts_per_request=sum(measure.attempts for measure in measures) / carried,
         cancels_per_request=sum(measure.cancels for measure in measures) / carried,
         not_sent_per_request=sum(measure.not_sent for measure in measures) / carried,
         cpu_us_per_request=sum(measure.decision_us for measure in measures) / carried,
         log_bytes_per_s=sum(measure.log_bytes for measure in measures) / max(1, balancer_seconds),
-        resident_mb_per_balancer=None if role is None else role.resident_mb / max(1, hosted),
+        resident_mb_per_balancer=None if role is None else role.resident_mb / max(1, balancers_per_process),
     )
 
 
-def _tenants(record: RunRecord) -> TenantFigures | None:
+def _summarize_tenants(record: RunRecord) -> TenantFigures | None:
     if not record.hollow:
         return None
     asked = sum(sum(measure.tenant_asked) for measure in record.hollow)
-    split = sum(sum(measure.tenant_within_split) for measure in record.hollow)
+    within_split = sum(sum(measure.tenant_within_split) for measure in record.hollow)
     return TenantFigures(
         followed=tracked_tenant_count(record.scenario),
         asked=asked,
-        within_split=split,
-        within_fleet=_within_fleet(record),
+        within_split=within_split,
+        within_fleet=_count_within_fleet(record),
     )
 
 
-def _within_fleet(record: RunRecord) -> int:
-    """What shares kept over all hollow balancers would let in, to a second's accuracy."""
+def _count_within_fleet(record: RunRecord) -> int:
+    """Requests that quotas kept over all hollow balancers would admit, computed in steps of one second."""
     layout = build_layout(record.scenario, record.seed)
     settings = build_settings(record.scenario, layout, 0)
     total = record.scenario.balancers.total
@@ -252,21 +259,22 @@
     buckets = [TokenBucket(quota, 0.0) for quota in quotas[: tracked_tenant_count(record.scenario)]]
     within = 0
     for second, asked in sorted(seconds.items()):
-        for bucket, wanted in zip(buckets, map(sum, zip(*asked, strict=True)), strict=False):
-            within += bucket.consume(float(second), wanted)
+        for bucket, asked_in_second in zip(buckets, map(sum, zip(*asked, strict=True)), strict=False):
+            within += bucket.consume(float(second), asked_in_second)
     return within
 
 
 # ---- starts ----
 
 
-def _hollow_ready(measures: list[HollowMeasure]) -> ReadyFigures | None:
-    restarts = [measure for measure in measures if measure.at_s > 1]  # the first second tells of the start
-    took = [value for measure in restarts for value in measure.ready_ms]
-    return _ready(took, [value for measure in restarts for value in measure.ready_wait_ms])
+def _summarize_hollow_starts(measures: list[HollowMeasure]) -> ReadyFigures | None:
+    # The measure of the first second contains the initial starts.
+    restarts = [measure for measure in measures if measure.at_s > 1]
+    ready_ms = [value for measure in restarts for value in measure.ready_ms]
+    return _summarize_starts(ready_ms, [value for measure in restarts for value in measure.ready_wait_ms])
 
 
-def _ready(took_ms: list[float], waited_ms: list[float]) -> ReadyFigures | None:
+def _summarize_starts(took_ms: list[float], waited_ms: list[float]) -> ReadyFigures | None:
     if not took_ms:
         return None
     return ReadyFigures(len(took_ms), median(took_ms), max(took_ms), max(waited_ms, default=0.0))
@@ -275,26 +283,26 @@
 # ---- processes ----
 
 
-def _roles(record: RunRecord) -> dict[str, RoleFigures]:
+def _summarize_roles(record: RunRecord) -> dict[str, RoleFigures]:
     by_role: dict[str, list[ProcessMeasure]] = defaultdict(list)
     for measure in record.processes:
         by_role[measure.role].append(measure)
     network = {
-        HOLLOW_ROLE: _hollow_bytes_per_s(record.hollow),
+        HOLLOW_ROLE: _mean_hollow_bytes_per_s(record.hollow),
         DISCOVERY_ROLE: mean_discovery_bytes_per_s(record),
     }
-    return {role: _role(own, network.get(role)) for role, own in by_role.items()}
+    return {role: _summarize_role(own, network.get(role)) for role, own in by_role.items()}
 
 
-def _hollow_bytes_per_s(measures: list[HollowMeasure]) -> float | None:
-    """Of the batches between the workers and the photo servers; discovery counts its own."""
+def _mean_hollow_bytes_per_s(measures: list[HollowMeasure]) -> float | None:
+    """Bytes of the batches between workers and photo servers; discovery counts its own bytes."""
     if not measures:
         return None
     moved = sum(measure.bytes_sent + measure.bytes_received for measure in measures)
     return moved / max(measure.at_s for measure in measures)
 
 
-def _role(measures: list[ProcessMeasure], network_bytes_per_s: float | None) -> RoleFigures:
+def _summarize_role(measures: list[ProcessMeasure], network_bytes_per_s: float | None) -> RoleFigures:
     return RoleFigures(
         processes=len({measure.index for measure in measures}),
         cpu_share=fmean(measure.cpu_share for measure in measures),
@@ -309,7 +317,7 @@
 # ---- bars ----
 
 
-def _bars(
+def _build_bars(
     change: ChangeInForce,
     roles: dict[str, RoleFigures],
     bytes_per_s: float | None,
@@ -317,17 +325,17 @@
     servers: ServerFigures,
     dead: int,
 ) -> list[Bar]:
-    """What a fleet has to hold; a balancer's cost is that of its whole process, requests included."""
+    """The bars of a fleet; the cost of a balancer is that of its whole process, including its requests."""
     balancer = roles.get(BALANCER_ROLE)
     cpu_share = None if balancer is None else balancer.cpu_share
     memory_mb = None if balancer is None else balancer.resident_mb
     added_ms = None if real is None or not real.added.count else real.added.p99_us / 1e3
     return [
         Bar("change in force, p99 of the worst calm second", change.calm_p99_s, CHANGE_BAR_S, "s"),
-        Bar("CPU share of a real balancer", cpu_share, CPU_SHARE_BAR, "cores"),
+        Bar("CPU share of a real balancer", cpu_share, CPU_CORES_BAR, "cores"),
         Bar("memory of a real balancer", memory_mb, MEMORY_BAR_MB, "MB"),
-        Bar("bytes of discovery for a balancer", bytes_per_s, BYTES_BAR_PER_S, "B/s"),
-        Bar("added latency of real balancers, p99", added_ms, ADDED_BAR_MS, "ms"),
+        Bar("bytes of discovery for a balancer", bytes_per_s, DISCOVERY_BYTES_PER_S_BAR, "B/s"),
+        Bar("added latency of real balancers, p99", added_ms, ADDED_LATENCY_BAR_MS, "ms"),
         Bar("cold servers pushed over", servers.pushed_over, 0.0, "servers"),
         Bar("processes that died", float(dead), 0.0, "processes"),
     ]
--- a/tests/emulator/test_fleet_hollow.py
+++ b/tests/emulator/test_fleet_hollow.py
@@ -118,6 +118,7 @@
 def test_client_gets_only_the_first_successful_response(
     scenario: Scenario, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Two attempts succeed: the second one must neither answer again nor leave its attempt open."""
     effects = FakeEffects()
     balancer = make_balancer(scenario, effects)
     module = install_scripted_module(monkeypatch, balancer, 1001, 1002)
--- a/tests/emulator/test_fleet_run.py
+++ b/tests/emulator/test_fleet_run.py
@@ -1,4 +1,4 @@
-"""Small fleets run by the command itself, as processes on loopback."""
+"""Runs of small fleets by the command `fleet`, as processes on loopback."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 RESTART = '[[events]]\nkind = "restart_all_balancers"\nat_s = 1.2\ndown_s = 0.3\n'
 
 
-def fleet(*arguments: str) -> list[str]:
+def fleet_command(*arguments: str) -> list[str]:
     return [sys.executable, "-m", "emulator", "fleet", *arguments]
 
 
@@ -40,7 +40,7 @@
     code: int
     output: str
     errors: str
-    children: list[psutil.Process]  # as they were before whatever was done to it
+    children: list[psutil.Process]  # running before `disturb` was called
 
     def summary(self) -> dict[str, Any]:
         values: dict[str, Any] = json.loads((self.folder / "summary.json").read_text())
@@ -51,9 +51,9 @@
 
 
 def run_fleet(scenario: Path, folder: Path, disturb: Callable[[psutil.Process], None]) -> Run:
-    """Run a scenario; `disturb` is called with the command's process once measures come."""
+    """Run a scenario; `disturb` is called with the command's process after the first measures."""
     process = subprocess.Popen(
-        fleet(str(scenario), "--out", str(folder), "--no-bars"),
+        fleet_command(str(scenario), "--out", str(folder), "--no-bars"),
         cwd=REPOSITORY,
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
@@ -61,9 +61,9 @@
     )
     try:
         command, measures = psutil.Process(process.pid), folder / "measures.jsonl"
-        give_up = time.monotonic() + TIMEOUT_S
+        give_up_at = time.monotonic() + TIMEOUT_S
         while not (measures.exists() and measures.stat().st_size) and process.poll() is None:
-            assert time.monotonic() < give_up
+            assert time.monotonic() < give_up_at
             time.sleep(0.05)
         children = command.children(recursive=True) if process.poll() is None else []
         disturb(command)
@@ -92,23 +92,23 @@
 
 
 @pytest.fixture(scope="module")
-def whole_run(tmp_path_factory: pytest.TempPathFactory) -> Run:
+def complete_run(tmp_path_factory: pytest.TempPathFactory) -> Run:
     folder = tmp_path_factory.mktemp("whole")
     scenario = write_scenario(folder, duration_s=3.0, events=RESTART)
     return run_fleet(scenario, folder / "out", lambda command: None)
 
 
-def test_a_whole_run_leaves_complete_files_and_no_process(whole_run: Run) -> None:
-    assert whole_run.code == 0, whole_run.errors
-    assert_nothing_left(whole_run)
-    assert_files_complete(whole_run)
-    summary = whole_run.summary()
+def test_complete_run_writes_all_files_and_leaves_no_process(complete_run: Run) -> None:
+    assert complete_run.code == 0, complete_run.errors
+    assert_nothing_left(complete_run)
+    assert_files_complete(complete_run)
+    summary = complete_run.summary()
     assert summary["elapsed_s"] == summary["planned_s"] == 3.0
     assert not summary["dead"] and not summary["interrupted"] and not summary["unsound_answers"]
 
 
-def test_a_whole_run_shows_requests_changes_and_restarts(whole_run: Run) -> None:
-    summary = whole_run.summary()
+def test_summary_has_figures_of_requests_changes_and_restarts(complete_run: Run) -> None:
+    summary = complete_run.summary()
     assert summary["change"]["acknowledged"] and 0 < summary["change"]["p50_s"] <= summary["change"]["max_s"]
     assert (summary["hollow_ready"]["starts"], summary["real_ready"]["starts"]) == (3, 1)
     for name in ("hollow", "real"):
@@ -118,22 +118,22 @@
     assert summary["servers"]["pushed_over"] == 0
 
 
-def test_plain_lines_are_printed_where_there_is_no_terminal(whole_run: Run) -> None:
-    assert "change in force: p50 " in whole_run.output
-    assert "bar: processes that died: 0 processes, at most 0: holds" in whole_run.output
-    assert "\x1b" not in whole_run.output + whole_run.errors
+def test_output_is_plain_lines_without_a_terminal(complete_run: Run) -> None:
+    assert "change in force: p50 " in complete_run.output
+    assert "bar: processes that died: 0 processes, at most 0: holds" in complete_run.output
+    assert "\x1b" not in complete_run.output + complete_run.errors
 
 
-def test_the_same_seed_gives_the_same_events(whole_run: Run, tmp_path: Path) -> None:
-    played = (whole_run.folder / "events.jsonl").read_bytes()
-    scenario = load_scenario(whole_run.folder / "scenario.toml")
+def test_equal_seeds_give_equal_events(complete_run: Run, tmp_path: Path) -> None:
+    recorded_events = (complete_run.folder / "events.jsonl").read_bytes()
+    scenario = load_scenario(complete_run.folder / "scenario.toml")
     for seed in (1, 2):
         record = RunRecord(scenario, seed, tmp_path, elapsed_s=scenario.duration_s)
         record.write_events()
-        assert ((tmp_path / "events.jsonl").read_bytes() == played) is (seed == 1)
+        assert ((tmp_path / "events.jsonl").read_bytes() == recorded_events) is (seed == 1)
 
 
-def test_an_interrupted_run_leaves_complete_files_and_no_process(tmp_path: Path) -> None:
+def test_interrupted_run_writes_all_files_and_leaves_no_process(tmp_path: Path) -> None:
     scenario = write_scenario(tmp_path, duration_s=60.0)
     run = run_fleet(scenario, tmp_path / "out", lambda command: command.send_signal(signal.SIGINT))
     assert run.code == 0, run.errors
@@ -143,16 +143,16 @@
 
 
 def kill_real_balancer(command: psutil.Process) -> None:
-    victims = [one for one in command.children() if "dykeshift.node" in one.cmdline()]
-    victims[0].kill()
+    balancers = [child for child in command.children() if "dykeshift.node" in child.cmdline()]
+    balancers[0].kill()
 
 
-def test_a_child_that_dies_is_named_with_its_last_lines(tmp_path: Path) -> None:
+def test_failed_child_is_reported_with_its_last_log_lines(tmp_path: Path) -> None:
     scenario = write_scenario(tmp_path, duration_s=60.0, balancers=1)
     run = run_fleet(scenario, tmp_path / "out", kill_real_balancer)
     assert run.code == 1
     assert "balancer 0 died with exit code -9, its last log lines:\n  " in run.errors
-    assert "dykeshift.node.d" in run.errors, "who logged the lines"
+    assert "dykeshift.node.d" in run.errors, "the lines are those of the balancer"
     assert run.summary()["dead"] == ["balancer 0"]
     assert_nothing_left(run)
 
@@ -168,7 +168,7 @@
         (),
     ],
 )
-def test_a_bad_call_is_told_in_one_line_and_starts_nothing(
+def test_invalid_call_is_reported_in_one_line_and_starts_nothing(
     arguments: tuple[str, ...], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     write_scenario(tmp_path)
--- a/tests/emulator/test_scenario.py
+++ b/tests/emulator/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: the shipped ones load, and every kind of fault is told in one line with file and key."""
+"""Scenario files: the shipped ones load, and each invalid one is reported in one line with file and key."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 QUICK = (SCENARIOS / "quick.toml").read_text(encoding="utf-8")
 
 
-def fault(tmp_path: Path, text: str | bytes) -> str:
-    """The message for a file with this content, without the file's name in front."""
+def error_message(tmp_path: Path, text: str | bytes) -> str:
+    """The error message for a file with this content, without the leading path."""
     path = tmp_path / "bad.toml"
     path.write_bytes(text if isinstance(text, bytes) else text.encode())
     with pytest.raises(BadInputError) as caught:
@@ -26,28 +26,28 @@
     return message.removeprefix(f"{path}: ")
 
 
-def edited(old: str, new: str) -> str:
+def quick_with_replaced(old: str, new: str) -> str:
     """The quick scenario with one passage replaced."""
     assert old in QUICK
     return QUICK.replace(old, new, 1)
 
 
-def with_event(**values: object) -> str:
+def quick_with_event(**values: object) -> str:
     """The quick scenario with one more event."""
     lines = "".join(f"{key} = {value!r}\n" for key, value in values.items())
     return f"{QUICK}\n[[events]]\n{lines}"
 
 
-EXTRA = f"events.{QUICK.count('[[events]]')}"  # key of the event that `with_event` adds
+ADDED_EVENT_KEY = f"events.{QUICK.count('[[events]]')}"  # key of the event that quick_with_event adds
 
 
 @pytest.mark.parametrize("path", sorted(SCENARIOS.glob("*.toml")), ids=lambda path: path.stem)
-def test_shipped_scenarios_load_and_say_what_they_show(path: Path) -> None:
+def test_shipped_scenarios_load_and_begin_with_a_description(path: Path) -> None:
     assert load_scenario(path).name == path.stem
     assert path.read_text(encoding="utf-8").startswith("# ")
 
 
-def test_the_target_has_the_size_that_it_is_for() -> None:
+def test_target_scenario_has_the_target_size() -> None:
     target = load_scenario(SCENARIOS / "target.toml")
     assert (len(target.regions), len(target.zones())) == (2, 7)
     assert (target.servers.count, target.balancers.total, target.tenants.count) == (6400, 420, 15000)
@@ -57,10 +57,10 @@
     assert (failures.machine_failures_per_day, failures.restarts_per_day) == (18, 1200)
 
 
-def test_files_that_are_no_scenario_are_refused(tmp_path: Path) -> None:
-    assert fault(tmp_path, "name = ").startswith("is not TOML: ")
-    assert fault(tmp_path, b"\xff\xfe\x00") == "is not UTF-8 text"
-    assert fault(tmp_path, "") == "name: Field required"
+def test_files_without_a_scenario_are_rejected(tmp_path: Path) -> None:
+    assert error_message(tmp_path, "name = ").startswith("is not TOML: ")
+    assert error_message(tmp_path, b"\xff\xfe\x00") == "is not UTF-8 text"
+    assert error_message(tmp_path, "") == "name: Field required"
     for path in (tmp_path / "missing.toml", tmp_path):
         with pytest.raises(BadInputError, match=f"{path}: cannot be read: "):
             load_scenario(path)
@@ -99,30 +99,33 @@
         ("share = 0.03", "share = 1.03", "events.2.share"),
     ],
 )
-def test_each_fault_is_told_with_its_key(tmp_path: Path, old: str, new: str, key: str) -> None:
-    assert fault(tmp_path, edited(old, new)).startswith(f"{key}: ")
+def test_each_invalid_value_is_reported_with_its_key(tmp_path: Path, old: str, new: str, key: str) -> None:
+    assert error_message(tmp_path, quick_with_replaced(old, new)).startswith(f"{key}: ")
 
 
 @pytest.mark.parametrize(
     ("event", "key"),
     [
-        ({"kind": "restart_all_balancers", "at_s": 30.0}, f"{EXTRA}.at_s"),
-        ({"kind": "restart_all_balancers", "at_s": -1.0}, f"{EXTRA}.at_s"),
-        ({"kind": "restart_all_balancers", "at_s": 29.0, "over_s": 2.0}, EXTRA),
-        ({"kind": "discovery_outage", "at_s": 29.0, "duration_s": 2.0}, EXTRA),
-        ({"kind": "discovery_outage", "at_s": 1.0, "duration_s": 2.0, "region": "fyn"}, f"{EXTRA}.region"),
-        ({"kind": "rack_failure", "at_s": 1.0, "duration_s": 2.0, "zone": "fyn"}, f"{EXTRA}.zone"),
+        ({"kind": "restart_all_balancers", "at_s": 30.0}, f"{ADDED_EVENT_KEY}.at_s"),
+        ({"kind": "restart_all_balancers", "at_s": -1.0}, f"{ADDED_EVENT_KEY}.at_s"),
+        ({"kind": "restart_all_balancers", "at_s": 29.0, "over_s": 2.0}, ADDED_EVENT_KEY),
+        ({"kind": "discovery_outage", "at_s": 29.0, "duration_s": 2.0}, ADDED_EVENT_KEY),
+        (
+            {"kind": "discovery_outage", "at_s": 1.0, "duration_s": 2.0, "region": "fyn"},
+            f"{ADDED_EVENT_KEY}.region",
+        ),
+        ({"kind": "rack_failure", "at_s": 1.0, "duration_s": 2.0, "zone": "fyn"}, f"{ADDED_EVENT_KEY}.zone"),
         (
             {"kind": "rack_failure", "at_s": 1.0, "duration_s": 2.0, "zone": "koege", "rack": 4},
-            f"{EXTRA}.rack",
+            f"{ADDED_EVENT_KEY}.rack",
         ),
     ],
 )
-def test_events_must_fit_into_the_scenario(tmp_path: Path, event: dict[str, object], key: str) -> None:
-    assert fault(tmp_path, with_event(**event)).startswith(f"{key}: ")
+def test_events_outside_the_scenario_are_rejected(tmp_path: Path, event: dict[str, object], key: str) -> None:
+    assert error_message(tmp_path, quick_with_event(**event)).startswith(f"{key}: ")
 
 
-def test_a_share_of_the_traffic_changes_nothing_else(tmp_path: Path) -> None:
+def test_traffic_share_changes_only_the_request_rate(tmp_path: Path) -> None:
     target = load_scenario(SCENARIOS / "target.toml")
     quarter = write_traffic_share(target, 0.25, tmp_path / "quarter.toml")
     assert quarter.requests_per_s == 6500
--- a/tests/emulator/test_timeline.py
+++ b/tests/emulator/test_timeline.py
@@ -1,4 +1,4 @@
-"""Layout, timeline and list versions as functions of scenario and seed, and the settings made from them."""
+"""Layout, timeline and list versions as functions of scenario and seed, and a balancer's configuration."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
     return load_scenario(SCENARIOS / "quick.toml")
 
 
-def test_a_seed_gives_one_timeline_and_another_seed_another(quick: Scenario) -> None:
+def test_timeline_is_equal_for_equal_seeds_and_differs_between_seeds(quick: Scenario) -> None:
     first = build_timeline(quick, 1)
     assert build_timeline(quick, 1) == first
     assert timeline_digest(build_timeline(quick, 1)) == timeline_digest(first)
     assert timeline_digest(build_timeline(quick, 2)) != timeline_digest(first)
 
 
-def test_events_are_sorted_within_the_run_and_name_members_of_the_fleet(quick: Scenario) -> None:
+def test_events_are_sorted_and_within_the_run_and_the_fleet(quick: Scenario) -> None:
     timeline = build_timeline(quick, 3)
     times = [event.at_s for event in timeline]
     assert times == sorted(times)
@@ -58,7 +58,7 @@
     assert {type(event) for event in timeline} == set(events.Event.__subclasses__())
 
 
-def test_random_failures_come_at_their_compressed_rate() -> None:
+def test_random_restarts_happen_at_their_compressed_rate() -> None:
     target = load_scenario(SCENARIOS / "target.toml").model_copy(update={"events": ()})
     expected = 1200 * target.time_compression * target.duration_s / 86_400
     drains = sum(isinstance(event, events.ServersDrained) for event in build_timeline(target, 1))
@@ -67,7 +67,8 @@
     assert sum(isinstance(event, events.ServersDrained) for event in build_timeline(slow, 1)) < 20
 
 
-def test_nothing_is_drawn_for_a_server_to_which_something_else_happens() -> None:
+def test_events_of_one_server_do_not_overlap() -> None:
+    """Guards against random events that stop a server which another event has already stopped."""
     target = load_scenario(SCENARIOS / "target.toml")
     down: Counter[int] = Counter()
     for event in build_timeline(target, 1):
@@ -78,18 +79,18 @@
             down.subtract(event.servers)
 
 
-def test_a_lost_zone_takes_all_its_servers_and_balancers(quick: Scenario) -> None:
+def test_zone_failure_stops_all_its_servers_and_balancers(quick: Scenario) -> None:
     layout, timeline = build_layout(quick, 1), build_timeline(quick, 1)
     zone = layout.zone_names.index("koege")
-    lost = next(
+    vanished = next(
         event for event in timeline if isinstance(event, events.ServersVanished) and event.at_s == 9.0
     )
-    assert list(lost.servers) == layout.servers_in_zone(zone)
+    assert list(vanished.servers) == layout.servers_in_zone(zone)
     stopped = next(event for event in timeline if isinstance(event, events.BalancersStopped))
     assert list(stopped.balancers) == layout.balancers_in_zone(zone)
 
 
-def test_members_are_placed_by_their_shares() -> None:
+def test_members_are_placed_by_the_shares_of_zones_and_kinds() -> None:
     target = load_scenario(SCENARIOS / "target.toml")
     layout = build_layout(target, 1)
     assert layout == build_layout(target, 1)
@@ -107,14 +108,14 @@
     assert layout.tenant_shares[0] > 100 * layout.tenant_shares[1000]
 
 
-def test_delays_follow_zones_and_regions(quick: Scenario) -> None:
+def test_network_delays_depend_on_zones_and_regions(quick: Scenario) -> None:
     layout = build_layout(quick, 1)
     assert layout.delays_s[0][0] == pytest.approx(0.0002)
     assert layout.delays_s[0][1] == pytest.approx(0.002)
     assert layout.delays_s[0][4] == layout.delays_s[4][0] == pytest.approx(0.012)
 
 
-def test_a_balancer_accepts_its_configuration(quick: Scenario) -> None:
+def test_balancer_accepts_its_configuration(quick: Scenario) -> None:
     layout = build_layout(quick, 1)
     kinds = [kind.name for kind in quick.servers.kinds]
     known = msgspec.json.decode(msgspec.json.encode(known_list(layout, ADDRESSES, kinds)))
@@ -140,16 +141,16 @@
     return ListSchedule(scenario, build_layout(scenario, 1), timeline, 1)
 
 
-def test_a_change_reaches_the_other_region_later_and_only_after_a_split(quick: Scenario) -> None:
+def test_change_reaches_the_other_region_after_its_lag_and_any_split(quick: Scenario) -> None:
     drained = events.ServersDrained(2.0, (0,))
-    usual = schedule_for(quick, drained).versions
-    assert [versions[0].release_s for versions in usual] == [2.5, 2.8]
+    releases_without_split = schedule_for(quick, drained).versions
+    assert [versions[0].release_s for versions in releases_without_split] == [2.5, 2.8]
     split = (events.RegionsSplit(1.0, (0, 1)), drained, events.RegionsHealed(9.0, (0, 1)))
-    cut = schedule_for(quick, *split).versions
-    assert [versions[0].release_s for versions in cut] == [2.5, 9.0]
+    releases_after_split = schedule_for(quick, *split).versions
+    assert [versions[0].release_s for versions in releases_after_split] == [2.5, 9.0]
 
 
-def test_an_agent_tells_after_its_jitter_and_not_during_an_outage(quick: Scenario) -> None:
+def test_agent_publishes_changes_after_its_jitter_and_after_an_outage(quick: Scenario) -> None:
     outage = (events.DiscoverySilenced(2.0, (0,)), events.DiscoveryReturned(4.0, (0,)))
     schedule = schedule_for(quick, *outage)
     near = next(n for n in range(21) if schedule.layout.balancer_region(n) == 0)
@@ -159,7 +160,7 @@
     assert schedule.visible_at_s(far, 2.5) == 2.5 + schedule.jitter_s[far]
 
 
-def test_the_list_follows_a_replacement_and_a_restart(quick: Scenario) -> None:
+def test_server_list_shows_a_replacement_and_a_restart(quick: Scenario) -> None:
     versions = schedule_for(
         quick,
         events.ServersDrained(1.0, (3, 4)),
@@ -181,23 +182,24 @@
     listing: Listing = msgspec.json.decode(encoder.full_list(4), type=Listing)
     assert (listing.generation, listing.reset, len(listing.instances)) == (4, True, 240)
     assert {row.instance_id for row in listing.instances} >= {"s-00003-1", "s-00004-0"}
-    news: Listing = msgspec.json.decode(encoder.delta(3, 4), type=Listing)
-    assert (news.generation, news.reset) == (4, False)
-    assert [(row.instance_id, row.started_at_ms) for row in news.instances] == [
+    delta: Listing = msgspec.json.decode(encoder.delta(3, 4), type=Listing)
+    assert (delta.generation, delta.reset) == (4, False)
+    assert [(row.instance_id, row.started_at_ms) for row in delta.instances] == [
         ("s-00003-1", 3000),
         ("s-00004-0", 3000),
     ]
     assert changed[3, 0] is Lifecycle.LEFT and changed[3, 1] is changed[4, 0] is Lifecycle.ACTIVE
 
 
-def test_a_start_is_told_with_one_time_however_often() -> None:
+def test_unix_time_of_a_scenario_time_never_changes() -> None:
+    """Discovery lists a server's start as a Unix time; a value that varies would look like another start."""
     clock = ScenarioClock(time.monotonic_ns())
-    told = {clock.unix_ms(1.5) for _ in range(20_000)}
-    assert len(told) == 1 and abs(told.pop() - time.time() * 1e3 - 1500) < 1000
+    unix_times = {clock.unix_ms(1.5) for _ in range(20_000)}
+    assert len(unix_times) == 1 and abs(unix_times.pop() - time.time() * 1e3 - 1500) < 1000
 
 
-def test_a_send_counts_as_too_late_only_once_the_grace_after_the_telling_is_over(quick: Scenario) -> None:
-    told = AnnouncedLifecycles(schedule_for(quick, events.ServersDrained(2.0, (0,))))
-    assert not told.should_have_stopped(0, 0, 2.7, 0.35)  # told at 2.5 to 2.62
-    assert told.should_have_stopped(0, 0, 3.0, 0.35)
-    assert not told.should_have_stopped(0, 1, 3.0, 0.35)
+def test_attempt_counts_as_late_only_after_the_drain_grace_from_the_announcement(quick: Scenario) -> None:
+    lifecycles = AnnouncedLifecycles(schedule_for(quick, events.ServersDrained(2.0, (0,))))
+    assert not lifecycles.should_have_stopped(0, 0, 2.7, 0.35)  # informed between 2.5 and 2.62 s
+    assert lifecycles.should_have_stopped(0, 0, 3.0, 0.35)
+    assert not lifecycles.should_have_stopped(0, 1, 3.0, 0.35)
