--- a/emulator/slopes/__init__.py
+++ b/emulator/slopes/__init__.py
@@ -1,1 +1,1 @@
-"""How state, messages, processor time and memory grow with the size of the fleet."""
+"""Measures how state, messages, processor time and memory grow with the size of the fleet."""
--- a/emulator/slopes/bars.py
+++ b/emulator/slopes/bars.py
@@ -1,4 +1,4 @@
-"""The bars: limits that figures at the target have to keep."""
+"""The bars: limits for figures measured at the target."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from emulator.slopes.roles import Figure
 from emulator.slopes.sizes import SMALL_DEPLOYMENT, TARGET, Axis, Scale, axis_points
 
-SMALL_FLEET = axis_points(Axis.FLEET)[0].scale  # 100 servers and 100 tenants, all else at the target
+SMALL_FLEET = axis_points(Axis.FLEET)[0].scale  # 100 servers and 100 tenants, all other sizes at the target
 
 
 class Bar(msgspec.Struct, frozen=True):
-    """A limit on one measure at the target: on the value, or on its ratio to that of a reference."""
+    """A limit on one measure at the target: on its value, or on its ratio to the value at another scale."""
 
     role: str
     measure: str
     text: str
     limit: float
-    reference: Scale | None = None  # the limit is on the ratio to this
-    passes_below: float | None = None  # a value below this passes whatever its ratio
-    related_measure: str | None = None  # a measure to show next to it
+    reference: Scale | None = None  # if set, the limit applies to the ratio to the value at this scale
+    passes_below: float | None = None  # a value below this passes regardless of its ratio
+    related_measure: str | None = None  # shown next to the measure
 
     def required_scales(self) -> tuple[Scale, ...]:
-        """What has to be measured for it."""
+        """Return the scales at which the measure is needed, the target last."""
         return (TARGET,) if self.reference is None else (self.reference, TARGET)
 
 
@@ -81,17 +81,17 @@
 
 
 def evaluate_bar(bar: Bar, lookup: FigureLookup) -> Row | None:
-    """The bar as a row of its own; None where its scales have not been measured."""
-    found = [lookup(bar.role, bar.measure, scale) for scale in bar.required_scales()]
-    figures = [figure for figure in found if figure is not None]
-    if len(figures) < len(found):
+    """Return the row of a bar; None if one of its scales has not been measured."""
+    available = [lookup(bar.role, bar.measure, scale) for scale in bar.required_scales()]
+    figures = [figure for figure in available if figure is not None]
+    if len(figures) < len(available):
         return None
     value = figures[-1].value
-    compared = value if bar.reference is None else value / max(figures[0].value, 1e-9)
-    passed = compared <= bar.limit or (bar.passes_below is not None and value < bar.passes_below)
+    compared_value = value if bar.reference is None else value / max(figures[0].value, 1e-9)
+    passed = compared_value <= bar.limit or (bar.passes_below is not None and value < bar.passes_below)
     text = bar.text
     if bar.reference is not None:
-        text += f" (ratio {format_value(compared)})"
+        text += f" (ratio {format_value(compared_value)})"
     related = bar.related_measure and lookup(bar.role, bar.related_measure, TARGET)
     if related:
         text += f" ({related.measure.removeprefix('load, ')}: {format_value(related.value)} {related.unit})"
@@ -110,6 +110,6 @@
 
 
 def format_missed_bar(row: Row) -> str:
-    """One plain line for a missed bar."""
+    """Return the error line for a missed bar."""
     values = " and ".join(format_value(value) for value in row.values)
     return f"missed: {row.role}: {row.measure}: {values} {row.unit}; bar: {row.bar}"
--- a/emulator/slopes/counting.py
+++ b/emulator/slopes/counting.py
@@ -1,4 +1,7 @@
-"""Work counted instead of timed: lines executed in the balancer, objects held; the same on any machine."""
+"""Counts work instead of timing it: executed lines of the balancer and objects in memory.
+
+The counts are the same on any machine.
+"""
 
 from __future__ import annotations
 
@@ -14,33 +17,33 @@
 import dykeshift
 
 BALANCER_FOLDER = str(Path(dykeshift.__file__).parent)
-_NOT_STATE = (type, ModuleType, FunctionType, CodeType, FrameType)
+_EXCLUDED_TYPES = (type, ModuleType, FunctionType, CodeType, FrameType)
 
 
 class ReachableObjects(msgspec.Struct, frozen=True):
-    """What a structure holds, itself included; what is reached twice counts once."""
+    """Number and size of the objects reachable from a root, including the root; each is counted once."""
 
     objects: int
     size: int  # bytes
 
 
 def measure_reachable(root: object) -> ReachableObjects:
-    """Objects and bytes reachable from `root`; code, classes and modules are not part of it."""
-    seen = {id(root)}
-    waiting: list[object] = [root]
+    """Count the objects and bytes reachable from `root`, without code, classes, modules and frames."""
+    seen_ids = {id(root)}
+    unvisited: list[object] = [root]
     size = 0
-    while waiting:
-        one = waiting.pop()
-        size += sys.getsizeof(one)
-        for other in gc.get_referents(one):
-            if id(other) not in seen and not isinstance(other, _NOT_STATE):
-                seen.add(id(other))
-                waiting.append(other)
-    return ReachableObjects(len(seen), size)
+    while unvisited:
+        item = unvisited.pop()
+        size += sys.getsizeof(item)
+        for referent in gc.get_referents(item):
+            if id(referent) not in seen_ids and not isinstance(referent, _EXCLUDED_TYPES):
+                seen_ids.add(id(referent))
+                unvisited.append(referent)
+    return ReachableObjects(len(seen_ids), size)
 
 
 def count_executed_lines(work: Callable[[], object]) -> int:
-    """Lines of the balancer's own code that `work` executes; a loop's line counts each time round."""
+    """Count the lines of the balancer's code that `work` executes; repeated lines count each time."""
     if sys.version_info >= (3, 12):
         from emulator.slopes.monitoring import count_lines_by_monitoring
 
@@ -59,10 +62,10 @@
     def on_call(frame: FrameType, _: str, __: Any) -> Any:
         return on_line if frame.f_code.co_filename.startswith(BALANCER_FOLDER) else None
 
-    before = sys.gettrace()
+    previous_tracer = sys.gettrace()
     sys.settrace(on_call)
     try:
         work()
     finally:
-        sys.settrace(before)
+        sys.settrace(previous_tracer)
     return lines
--- a/emulator/slopes/deployment.py
+++ b/emulator/slopes/deployment.py
@@ -1,4 +1,4 @@
-"""A made-up deployment of a given scale: its settings object, its server list and its requests."""
+"""A synthetic deployment of a given scale: its settings, server list and request attributes."""
 
 from __future__ import annotations
 
@@ -17,43 +17,43 @@
 ZONES = ("a", "b", "c")
 MACHINE_TYPES = ("small", "large")
 SERVERS_PER_CELL = 8
-QUOTA_TRAFFIC_MULTIPLE = 1.5  # tenants' quotas together, as a multiple of the traffic
-REQUEST_TIMEOUT_MS = 900
-_IDEMPOTENCY = ("pure", "token", "side_effect")
-_DEADLINE = 1_000 * NS_PER_MS
+QUOTA_TRAFFIC_MULTIPLE = 1.5  # sum of all tenant quotas, as a multiple of the traffic
+REQUEST_TIMEOUT_MS = 900  # how long a client waits for a response
+_IDEMPOTENCY_VALUES = ("pure", "token", "side_effect")
+_CLIENT_TIMEOUT_NS = 1_000 * NS_PER_MS
 
 
 class DiscoveryMode(Enum):
-    """How changes of the list reach a balancer; the values are the settings' own words."""
+    """How changes of the server list reach a balancer; the values are those of the setting `discovery`."""
 
     PUSH = "push"
     ASK = "ask"
 
 
-def class_name(number: int) -> str:
-    """Name of a request class."""
-    return f"class-{number}"
+def class_name(class_index: int) -> str:
+    """Return the name of a request class."""
+    return f"class-{class_index}"
 
 
-def tenant_name(number: int) -> str:
-    """Name of a tenant."""
-    return f"tenant-{number}"
+def tenant_name(tenant_index: int) -> str:
+    """Return the name of a tenant."""
+    return f"tenant-{tenant_index}"
 
 
-def class_idempotency(number: int) -> str:
-    """Whether requests of a class may be repeated, in the settings' words."""
-    return _IDEMPOTENCY[number % len(_IDEMPOTENCY)]
+def class_idempotency(class_index: int) -> str:
+    """Return the setting `idempotency` of a request class: whether its requests may be repeated."""
+    return _IDEMPOTENCY_VALUES[class_index % len(_IDEMPOTENCY_VALUES)]
 
 
-def _service(number: int) -> dict[str, Any]:
+def _build_class(class_index: int) -> dict[str, Any]:
     return {
-        "name": class_name(number),
+        "name": class_name(class_index),
         "goalTimeNs": 250 * NS_PER_MS,
-        "deadlineNs": _DEADLINE,
-        "worth": 1.0 + number % 5,
-        "idempotency": class_idempotency(number),
+        "deadlineNs": _CLIENT_TIMEOUT_NS,
+        "worth": 1.0 + class_index % 5,
+        "idempotency": class_idempotency(class_index),
         "group": "all",
-        "windowNs": _DEADLINE,
+        "windowNs": _CLIENT_TIMEOUT_NS,
         "lateShare": 0.0,
         "stream": False,
     }
@@ -62,7 +62,7 @@
 def build_settings(
     scale: Scale, mode: DiscoveryMode = DiscoveryMode.PUSH, balancer_index: int = 0
 ) -> dict[str, Any]:
-    """The settings object as the deployment words it."""
+    """Return the settings object of one balancer, in the format of its configuration file."""
     quota = QUOTA_TRAFFIC_MULTIPLE * scale.requests * scale.balancers / scale.tenants
     return {
         "az": balancer_index % len(ZONES),
@@ -97,35 +97,35 @@
             "fallNs": 3 * NS_PER_S,
             "tipMultiple": 3.0,
         },
-        "services": [_service(n) for n in range(scale.services)],
+        "services": [_build_class(n) for n in range(scale.services)],
     }
 
 
-def build_server_entry(number: int, state: ServerState = ServerState.READY) -> ServerEntry:
-    """Server `number` as the decision module is told of it."""
+def build_server_entry(server_id: int, state: ServerState = ServerState.READY) -> ServerEntry:
+    """Return the entry of a server in the list that the decision module gets."""
     return ServerEntry(
-        id=number,
-        zone=number % len(ZONES),
-        cell=number // SERVERS_PER_CELL,
-        kind=number % len(MACHINE_TYPES),
+        id=server_id,
+        zone=server_id % len(ZONES),
+        cell=server_id // SERVERS_PER_CELL,
+        kind=server_id % len(MACHINE_TYPES),
         state=state,
         weight=1.0,
         started_at=0,
     )
 
 
-def server_host(number: int) -> str:
-    """A loopback address of its own for each server."""
-    high, low = divmod(number, 254)
+def server_host(server_id: int) -> str:
+    """Return the loopback address of a server; each server has a different one."""
+    high, low = divmod(server_id, 254)
     return f"127.64.{high}.{low + 1}"
 
 
-def build_instance(number: int, port: int, lifecycle: str = "active") -> Instance:
-    """Server `number` as discovery lists it."""
-    entry = build_server_entry(number)
+def build_instance(server_id: int, port: int, lifecycle: str = "active") -> Instance:
+    """Return the entry of a server in the list of discovery."""
+    entry = build_server_entry(server_id)
     return Instance(
-        instance_id=f"s-{number:08x}",
-        host_port=f"{server_host(number)}:{port}",
+        instance_id=f"s-{server_id:08x}",
+        host_port=f"{server_host(server_id)}:{port}",
         zone=ZONES[entry.zone],
         machine_type=MACHINE_TYPES[entry.kind],
         cell=entry.cell,
@@ -134,15 +134,15 @@
 
 
 def encode_full_list(servers: int, port: int, generation: int = 1) -> bytes:
-    """The body that tells the whole list."""
+    """Return the response body of discovery with the full list."""
     return msgspec.json.encode(Listing(generation, True, [build_instance(n, port) for n in range(servers)]))
 
 
-def encode_delta(number: int, port: int, lifecycle: str, generation: int = 2) -> bytes:
-    """The body that tells one changed entry."""
-    return msgspec.json.encode(Listing(generation, False, [build_instance(number, port, lifecycle)]))
+def encode_delta(server_id: int, port: int, lifecycle: str, generation: int = 2) -> bytes:
+    """Return the response body of discovery with one changed entry."""
+    return msgspec.json.encode(Listing(generation, False, [build_instance(server_id, port, lifecycle)]))
 
 
 def exponential_quantile(fraction: float, mean: float) -> float:
-    """Quantile of an exponential distribution, to turn uniform draws into gaps and service times."""
+    """Return a quantile of an exponential distribution, to turn uniform draws into exponential intervals."""
     return -mean * math.log(1.0 - fraction)
--- a/emulator/slopes/monitoring.py
+++ b/emulator/slopes/monitoring.py
@@ -1,4 +1,4 @@
-"""Count executed lines by `sys.monitoring`, where the interpreter has it (3.12 and later)."""
+"""Counts executed lines with `sys.monitoring`, which exists from Python 3.12 on."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from types import CodeType
 
 if sys.version_info >= (3, 12):
-    TOOL = sys.monitoring.PROFILER_ID
+    TOOL_ID = sys.monitoring.PROFILER_ID
 
     def count_lines_by_monitoring(work: Callable[[], object], folder: str) -> int:
-        """Lines of files under `folder` that `work` executes."""
+        """Count the lines of files below `folder` that `work` executes."""
         lines = 0
 
         def on_line(code: CodeType, _: int) -> object:
@@ -20,13 +20,13 @@
             lines += 1
             return None
 
-        sys.monitoring.use_tool_id(TOOL, "emulator slopes")
-        sys.monitoring.register_callback(TOOL, sys.monitoring.events.LINE, on_line)
+        sys.monitoring.use_tool_id(TOOL_ID, "emulator slopes")
+        sys.monitoring.register_callback(TOOL_ID, sys.monitoring.events.LINE, on_line)
         sys.monitoring.restart_events()
-        sys.monitoring.set_events(TOOL, sys.monitoring.events.LINE)
+        sys.monitoring.set_events(TOOL_ID, sys.monitoring.events.LINE)
         try:
             work()
         finally:
-            sys.monitoring.set_events(TOOL, sys.monitoring.events.NO_EVENTS)
-            sys.monitoring.free_tool_id(TOOL)
+            sys.monitoring.set_events(TOOL_ID, sys.monitoring.events.NO_EVENTS)
+            sys.monitoring.free_tool_id(TOOL_ID)
         return lines
--- a/emulator/slopes/report.py
+++ b/emulator/slopes/report.py
@@ -1,4 +1,4 @@
-"""What a run tells: its rows as JSON lines in a folder, and as a table on the terminal."""
+"""The results of a run: rows as JSON lines in a file, and as a table on the terminal."""
 
 from __future__ import annotations
 
@@ -12,11 +12,14 @@
 from emulator.slopes.fit import Slope
 
 ROWS_FILE = "slopes.jsonl"
-NOTHING = 1e-9
+MAX_ROUNDING_ERROR = 1e-9
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One measure along one axis; a row of a single size states a point alone."""
+    """The values of one measure along one axis, or at the scales of a bar.
+
+    A row with a single size has no slopes.
+    """
 
     role: str
     measure: str
@@ -25,25 +28,25 @@
     sizes: list[float]
     values: list[float]
     exponent: Slope | None  # on logarithmic axes
-    linear: Slope | None  # units of the measure for each unit of size
+    linear: Slope | None  # in units of the measure per unit of size
     bar: str | None = None
     passed: bool | None = None
 
 
 def write_rows(rows: Iterable[Row], folder: Path) -> None:
-    """One JSON line for each row."""
+    """Write one JSON line per row to ROWS_FILE in `folder`."""
     encoded = [msgspec.json.encode(row) + b"\n" for row in rows]
     (folder / ROWS_FILE).write_bytes(b"".join(encoded))
 
 
 def format_value(value: float) -> str:
-    """A figure with four significant digits; what is left of rounding alone is 0."""
-    if abs(value) < NOTHING:
+    """Format a value with four significant digits, from 10,000 on as an integer; rounding errors become 0."""
+    if abs(value) < MAX_ROUNDING_ERROR:
         return "0"
     return f"{value:,.0f}" if abs(value) >= 10_000 else f"{value:.4g}"
 
 
-def _shown_slope(slope: Slope | None) -> str:
+def _format_slope(slope: Slope | None) -> str:
     if slope is None:
         return "-"
     return (
@@ -62,8 +65,8 @@
         row.axis,
         " ".join(format_value(size) for size in row.sizes),
         " ".join(format_value(value) for value in row.values),
-        _shown_slope(row.exponent),
-        _shown_slope(row.linear),
+        _format_slope(row.exponent),
+        _format_slope(row.linear),
         f"{row.bar}: {verdict}" if row.bar else "",
     )
 
@@ -72,7 +75,7 @@
 
 
 def print_rows(rows: Sequence[Row], console: Console) -> None:
-    """A table where a person watches, else one tab-separated line for each row."""
+    """Print a table on a terminal, otherwise one line with tab-separated cells per row."""
     if not console.is_terminal:
         for cells in (COLUMNS, *map(_cells, rows)):
             print("\t".join(cells), file=console.file)
--- a/emulator/slopes/roles.py
+++ b/emulator/slopes/roles.py
@@ -1,4 +1,4 @@
-"""What a role is to the command: a name, its axes, and one measurement at a given scale."""
+"""A role as the command sees it: a name, its axes, and a function that measures it at a given scale."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class MeasurementError(Exception):
-    """A point could not be measured; its text is one line for people."""
+    """A point could not be measured; the message is one line for the user."""
 
 
 class Figure(msgspec.Struct, frozen=True):
@@ -24,12 +24,12 @@
 class MeasurementBudget(msgspec.Struct, frozen=True):
     """How long and how often each point is measured."""
 
-    block_seconds: float  # of processor time in which a piece of work is repeated; the best run counts
+    block_seconds: float  # processor time for repeating a piece of work; the fastest run counts
     idle_seconds: float
     load_seconds: float
-    bar_idle_seconds: float  # the same at the scales that bars stand on
-    bar_load_seconds: float
-    starts: int  # of the program, where the best of several counts
+    bar_idle_seconds: float  # in place of idle_seconds, at the scales of the bars
+    bar_load_seconds: float  # in place of load_seconds, at the scales of the bars
+    starts: int  # starts of the balancer, where the best of several counts
 
 
 FULL_BUDGET = MeasurementBudget(
@@ -49,14 +49,14 @@
     starts=1,
 )
 
-MeasureFunction = Callable[[Scale, MeasurementBudget, int], list[Figure]]  # scale, effort, seed
+MeasureFunction = Callable[[Scale, MeasurementBudget, int], list[Figure]]  # scale, budget, seed
 
 
 class Role(msgspec.Struct, frozen=True):
-    """A part of the deployment that is measured by itself."""
+    """A part of the deployment that is measured separately."""
 
     name: str
     description: str
     axes: tuple[Axis, ...]
-    quick_axes: tuple[Axis, ...]  # of a quick run that names no axis
+    quick_axes: tuple[Axis, ...]  # for a quick run without --axis
     measure: MeasureFunction
--- a/emulator/slopes/sizes.py
+++ b/emulator/slopes/sizes.py
@@ -1,4 +1,7 @@
-"""The sizes that are varied: the axes, the base that the others are held at, and the target."""
+"""Sizes of the measured deployments.
+
+One size is varied along each axis, up to the target, while all others stay at the base.
+"""
 
 from __future__ import annotations
 
@@ -8,21 +11,21 @@
 
 
 class Scale(msgspec.Struct, frozen=True):
-    """The size of one deployment, as one balancer of it meets it.
+    """The size of a deployment, with the request rate of one of its balancers.
 
-    `services` are the request classes of the settings object: the program has no routing between services,
-    the whole fleet of servers is one pool for all of them.
+    `services` is the number of request classes in the settings. The balancer does not route between services:
+    all servers of the fleet are one pool for all classes.
     """
 
     servers: int
     tenants: int
-    services: int  # request classes
+    services: int
     balancers: int
-    changes: int  # changed entries of the server list a day
-    requests: int  # a second, at one balancer
+    changes: int  # changed entries of the server list per day
+    requests: int  # per second, at one balancer
 
     def __str__(self) -> str:
-        """The sizes in words."""
+        """Return the sizes as one line of text."""
         return (
             f"{self.servers:,} servers, {self.tenants:,} tenants, {self.services} services, "
             f"{self.balancers} balancers, {self.changes} changes a day, {self.requests} requests a second"
@@ -35,7 +38,7 @@
 
 
 class Axis(Enum):
-    """What is varied; `FLEET` grows servers and tenants together, with all others at the target."""
+    """The size that is varied; `FLEET` varies servers and tenants, with all other sizes at the target."""
 
     SERVERS = "servers"
     TENANTS = "tenants"
@@ -47,20 +50,20 @@
 
 
 class Point(msgspec.Struct, frozen=True):
-    """One measured size on an axis."""
+    """One measured size on an axis, and the deployment measured for it."""
 
     size: int
     scale: Scale
 
 
 AXIS_DESCRIPTIONS = {
-    Axis.SERVERS: "servers in discovery's list",
+    Axis.SERVERS: "servers in the list of discovery",
     Axis.TENANTS: "tenants in the settings",
     Axis.SERVICES: "request classes in the settings (one pool of servers serves all of them)",
     Axis.BALANCERS: "balancers in the settings",
-    Axis.CHANGES: "changed entries of the server list a day",
-    Axis.REQUESTS: "requests a second at one balancer",
-    Axis.FLEET: "servers, with tenants growing alike and all else at the target",
+    Axis.CHANGES: "changed entries of the server list per day",
+    Axis.REQUESTS: "requests per second at one balancer",
+    Axis.FLEET: "servers, with tenants growing along and all other sizes at the target",
 }
 _SIZES = {
     Axis.SERVERS: (100, 400, 1_000, 2_500, 6_400),
@@ -70,15 +73,15 @@
     Axis.CHANGES: (39, 90, 160, 260, 390),
     Axis.REQUESTS: (8, 16, 31, 45, 62),
 }
-_FLEET_TENANTS = dict(zip(_SIZES[Axis.SERVERS], _SIZES[Axis.TENANTS], strict=True))
+_TENANTS_BY_SERVERS = dict(zip(_SIZES[Axis.SERVERS], _SIZES[Axis.TENANTS], strict=True))
 
 
 def axis_points(axis: Axis, quick: bool = False) -> tuple[Point, ...]:
-    """The sizes measured on an axis, ascending; `quick` takes the first, the middle and the last."""
+    """Return the points measured on an axis, ascending; with `quick` the first, the middle and the last."""
     if axis is Axis.FLEET:
         points = tuple(
             Point(servers, msgspec.structs.replace(TARGET, servers=servers, tenants=tenants))
-            for servers, tenants in _FLEET_TENANTS.items()
+            for servers, tenants in _TENANTS_BY_SERVERS.items()
         )
     else:
         points = tuple(
--- a/emulator/slopes/timing.py
+++ b/emulator/slopes/timing.py
@@ -1,4 +1,4 @@
-"""Processor time of short pieces of work, for machines that others use as well."""
+"""Processor time of short pieces of work, measured on machines that run other programs too."""
 
 from __future__ import annotations
 
@@ -14,21 +14,22 @@
 
 
 def min_cpu_time_ns(work: Callable[[Subject], object], setup: Callable[[], Subject], seconds: float) -> int:
-    """Nanoseconds of this thread's processor time in the quickest of some runs, without garbage collections.
+    """Return the processor time of this thread in the fastest of several runs, in nanoseconds.
 
-    Runs go on for about `seconds`; `setup` gives each run its subject and is not part of its time.
+    Runs are repeated for about `seconds` of processor time, between MIN_RUNS and MAX_RUNS times, without
+    garbage collection. `setup` creates the subject of each run; its time is not counted.
     """
     times: list[int] = []
     end = time.thread_time() + seconds
-    collecting = gc.isenabled()
-    gc.disable()  # a collection walks all of this process, not only what is measured
+    was_gc_enabled = gc.isenabled()
+    gc.disable()  # a collection visits all objects of this process, not only the measured ones
     try:
         while len(times) < MIN_RUNS or (len(times) < MAX_RUNS and time.thread_time() < end):
             subject = setup()
-            began = time.thread_time_ns()
+            started_at = time.thread_time_ns()
             work(subject)
-            times.append(time.thread_time_ns() - began)
+            times.append(time.thread_time_ns() - started_at)
     finally:
-        if collecting:
+        if was_gc_enabled:
             gc.enable()
     return min(times)
