--- a/emulator/slopes/client.py
+++ b/emulator/slopes/client.py
@@ -1,4 +1,4 @@
-"""Clients on loopback: an open-loop stream of requests, and pings of `/ready`."""
+"""Clients on loopback: an open-loop stream of requests, and a probe of `/ready`."""
 
 from __future__ import annotations
 
@@ -23,96 +23,100 @@
 
 Address = tuple[str, int]
 
-MAX_RECORDED_US = 60_000_000  # that the histogram can tell
-DIGITS = 3
-BODY = b"x" * 200
-SETTLE_SECONDS = 1.5  # after the last request, for its answer to come
+MAX_RECORDED_US = 60_000_000
+SIGNIFICANT_DIGITS = 3  # precision of the histogram
+REQUEST_BODY = b"x" * 200
+RESPONSE_WAIT_S = 1.5  # for pending responses, after the last request
 NO_RESPONSE = 0  # in place of a status
 ResponseCallback = Callable[[int, bytes], None]  # status and body
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection with one request at a time."""
+    """A connection to a server, with one request at a time."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
         self.body = b""
-        self.done: ResponseCallback | None = None
+        self.on_response: ResponseCallback | None = None
 
-    def send_request(self, message: bytes, done: ResponseCallback) -> None:
-        """Send a request; `done` is called once."""
+    def send_request(self, message: bytes, on_response: ResponseCallback) -> None:
+        """Send a request.
+
+        `on_response` is called once: with the response, or with NO_RESPONSE if the connection is lost before.
+        """
         assert self.transport is not None
-        self.done = done
+        self.on_response = on_response
         self.transport.write(message)
 
     def is_usable(self) -> bool:
-        """Whether another request may be sent on it."""
-        return self.transport is not None and not self.transport.is_closing() and self.done is None
+        """Return whether a request may be sent now."""
+        return self.transport is not None and not self.transport.is_closing() and self.on_response is None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by the loop."""
+        """Callback of asyncio.Protocol."""
         self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Called by the loop."""
+        """Callback of asyncio.Protocol."""
         self.transport = None
         self._finish(NO_RESPONSE)
 
     def data_received(self, data: bytes) -> None:
-        """Called by the loop."""
+        """Callback of asyncio.Protocol."""
         self.parser.feed_data(data)
 
     def on_message_begin(self) -> None:
-        """Called by the parser."""
+        """Callback of the parser."""
         self.body = b""
 
     def on_body(self, data: bytes) -> None:
-        """Called by the parser."""
+        """Callback of the parser."""
         self.body += data
 
     def on_message_complete(self) -> None:
-        """Called by the parser."""
+        """Callback of the parser."""
         if not self.parser.should_keep_alive() and self.transport is not None:
             self.transport.close()
         self._finish(self.parser.get_status_code())
 
     def _finish(self, status: int) -> None:
-        done, self.done = self.done, None
-        if done is not None:
-            done(status, self.body)
+        on_response, self.on_response = self.on_response, None
+        if on_response is not None:
+            on_response(status, self.body)
 
 
 async def open_connection(address: Address) -> ClientConnection:
-    """A new connection."""
+    """Open a connection; raises OSError if that fails."""
     _, connection = await asyncio.get_running_loop().create_connection(ClientConnection, *address)
     return connection
 
 
-def build_request(rid: str, klass: int, tenant: int) -> bytes:
-    """A client's request as the protocol wants it: the class decides method and key."""
-    kind = class_idempotency(klass)
-    method, body = ("GET", b"") if kind == "pure" else ("POST", BODY)
+def build_request(request_id: str, class_index: int, tenant_index: int) -> bytes:
+    """Return the bytes of a request; its class determines the method and the idempotency key."""
+    idempotency = class_idempotency(class_index)
+    method, body = ("GET", b"") if idempotency == "pure" else ("POST", REQUEST_BODY)
     lines = [
         f"{method} /api HTTP/1.1",
         "Host: backend.local",
-        f"X-Request-Id: {rid}",
-        f"X-Class: {class_name(klass)}",
-        f"X-Tenant: {tenant_name(tenant)}",
+        f"X-Request-Id: {request_id}",
+        f"X-Class: {class_name(class_index)}",
+        f"X-Tenant: {tenant_name(tenant_index)}",
         f"X-Deadline-Ms: {REQUEST_TIMEOUT_MS}",
     ]
-    if kind == "token":
-        lines.append(f"Idempotency-Key: key-{rid}")
+    if idempotency == "token":
+        lines.append(f"Idempotency-Key: key-{request_id}")
     if body:
         lines.append(f"Content-Length: {len(body)}")
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
 class OpenLoopClient:
-    """Sends at random times whatever comes back, and keeps what each answer took beyond the service.
+    """Sends requests at random times, regardless of responses, and records the latency added to the service.
 
-    The added time runs from the sending to the answer's last byte, less what the photo server says that
-    it held the request: what is left is the balancer, the network and this process.
+    The added latency is the time from sending a request to the last byte of its response, minus the time for
+    which the photo server held the request, as its body states. It is caused by the balancer, the network
+    and this process.
     """
 
     def __init__(self, targets: list[Address], scale: Scale, seed: int) -> None:
@@ -120,53 +124,53 @@
         self.scale = scale
         self.random = Random(seed)
         self.idle_connections: dict[Address, list[ClientConnection]] = {target: [] for target in targets}
-        self.added_latency = HdrHistogram(1, MAX_RECORDED_US, DIGITS)
+        self.added_latency = HdrHistogram(1, MAX_RECORDED_US, SIGNIFICANT_DIGITS)
         self.status_counts: Counter[int] = Counter()
         self.tasks: set[asyncio.Task[None]] = set()
         self.request_count = 0
 
     def reset(self) -> None:
-        """Forget what was recorded, as after a warm-up."""
+        """Discard the records, for example after a warm-up."""
         self.added_latency.reset()
         self.status_counts.clear()
         self.request_count = 0
 
     async def run(self, seconds: float) -> None:
-        """Send for so long, then wait a little for the last answers."""
+        """Send requests for this long; responses may still be pending on return."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
-        due = loop.time()
+        send_at = loop.time()
         while True:
-            due += exponential_quantile(self.random.random(), 1 / self.scale.requests)
-            if due >= end:
+            send_at += exponential_quantile(self.random.random(), 1 / self.scale.requests)
+            if send_at >= end:
                 return
-            await asyncio.sleep(due - loop.time())
-            task = loop.create_task(self._ask())
+            await asyncio.sleep(send_at - loop.time())
+            task = loop.create_task(self._send_request())
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
     async def wait_for_responses(self) -> None:
-        """Wait for the answers that are still out; those that do not come are given up."""
+        """Wait for pending responses; requests without one after RESPONSE_WAIT_S are cancelled."""
         if self.tasks:
-            _, late = await asyncio.wait(self.tasks, timeout=SETTLE_SECONDS)
-            for task in late:
+            _, pending = await asyncio.wait(self.tasks, timeout=RESPONSE_WAIT_S)
+            for task in pending:
                 task.cancel()
                 self._record(NO_RESPONSE, 0)
 
     def close(self) -> None:
-        """Close the connections that are idle."""
-        for connection in (one for idle in self.idle_connections.values() for one in idle):
+        """Close the idle connections."""
+        for connection in (item for idle in self.idle_connections.values() for item in idle):
             if connection.transport is not None:
                 connection.transport.close()
 
-    async def _ask(self) -> None:
+    async def _send_request(self) -> None:
         target = self.random.choice(self.targets)
-        rid = f"{self.random.getrandbits(64):016x}"
+        request_id = f"{self.random.getrandbits(64):016x}"
         message = build_request(
-            rid, self.random.randrange(self.scale.services), self.random.randrange(self.scale.tenants)
+            request_id, self.random.randrange(self.scale.services), self.random.randrange(self.scale.tenants)
         )
         self.request_count += 1
-        began = time.monotonic_ns()
+        sent_at = time.monotonic_ns()
         idle = self.idle_connections[target]
         connection = idle.pop() if idle else None
         if connection is None or not connection.is_usable():
@@ -175,39 +179,41 @@
             except OSError:
                 self._record(NO_RESPONSE, 0)
                 return
-        ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        connection.send_request(message, lambda status, body: self._ended(began, ended, status, body))
-        await ended
+        finished: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        connection.send_request(
+            message, lambda status, body: self._on_response(sent_at, finished, status, body)
+        )
+        await finished
         if connection.is_usable():
             idle.append(connection)
 
-    def _record(self, status: int, added: int) -> None:
-        """Count one request; what is not served counts as the client's whole patience."""
+    def _record(self, status: int, added_ns: int) -> None:
+        """Record a request; one that is not served counts with the whole request timeout."""
         self.status_counts[status] += 1
-        added_us = added // 1_000 if status == 200 else REQUEST_TIMEOUT_MS * 1_000
+        added_us = added_ns // 1_000 if status == 200 else REQUEST_TIMEOUT_MS * 1_000
         self.added_latency.record_value(max(1, added_us))
 
-    def _ended(self, began: int, ended: asyncio.Future[None], status: int, body: bytes) -> None:
-        if ended.cancelled():  # given up and counted already
+    def _on_response(self, sent_at: int, finished: asyncio.Future[None], status: int, body: bytes) -> None:
+        if finished.cancelled():  # already recorded as NO_RESPONSE
             return
-        self._record(status, time.monotonic_ns() - began - int(body) if status == 200 else 0)
-        ended.set_result(None)
+        self._record(status, time.monotonic_ns() - sent_at - int(body) if status == 200 else 0)
+        finished.set_result(None)
 
 
-PING = b"GET /ready HTTP/1.1\r\nHost: backend.local\r\n\r\n"
-PING_PAUSE = 0.001  # seconds between an answer and the next ping
+PROBE_REQUEST = b"GET /ready HTTP/1.1\r\nHost: backend.local\r\n\r\n"
+PROBE_INTERVAL_S = 0.001  # between a response and the next request
 
 
 class ReadinessProbe:
-    """Asks for `/ready` again and again on one connection, and keeps the longest wait for an answer."""
+    """Requests `/ready` repeatedly on one connection, and records the longest wait for a response."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
-        self.max_wait_s = 0.0  # seconds
+        self.max_wait_s = 0.0
         self.connection: ClientConnection | None = None
 
     async def probe(self) -> int:
-        """One ping; its status, or NO_ANSWER."""
+        """Send one request and return the status of its response, or NO_RESPONSE."""
         loop = asyncio.get_running_loop()
         if self.connection is None or not self.connection.is_usable():
             try:
@@ -215,18 +221,20 @@
             except OSError:
                 return NO_RESPONSE
         status: asyncio.Future[int] = loop.create_future()
-        began = loop.time()
-        self.connection.send_request(PING, lambda code, _: None if status.done() else status.set_result(code))
+        sent_at = loop.time()
+        self.connection.send_request(
+            PROBE_REQUEST, lambda code, _: None if status.done() else status.set_result(code)
+        )
         code = await status
-        self.max_wait_s = max(self.max_wait_s, time.monotonic() - began)
+        self.max_wait_s = max(self.max_wait_s, time.monotonic() - sent_at)
         return code
 
     async def probe_for(self, seconds: float) -> float:
-        """Ping for so long; the longest wait within it."""
+        """Probe repeatedly for this long, and return the longest wait in seconds."""
         loop = asyncio.get_running_loop()
         self.max_wait_s = 0.0
         end = loop.time() + seconds
         while loop.time() < end:
             await self.probe()
-            await asyncio.sleep(PING_PAUSE)
+            await asyncio.sleep(PROBE_INTERVAL_S)
         return self.max_wait_s
--- a/emulator/slopes/discovery_role.py
+++ b/emulator/slopes/discovery_role.py
@@ -1,4 +1,4 @@
-"""Discovery's messages: their size on the wire, and what the balancer's reader makes of them."""
+"""Responses of discovery: their size on the wire, and the work of parsing them in the balancer."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from emulator.slopes.standins import http_response
 from emulator.slopes.timing import min_cpu_time_ns
 
-PORT = 8081  # of the servers in the messages; nothing listens
+SERVER_PORT = 8081  # of the listed servers; nothing listens on it
 
 
-def read(reader: ListReader, body: bytes) -> ServerListing[ListedServer]:
-    """Read a list as the real client does, its turns of the event loop following at once."""
+def read_list(reader: ListReader, body: bytes) -> ServerListing[ListedServer]:
+    """Parse a list as the balancer does, with all steps at once instead of one per turn of the event loop."""
     steps = reader.read(decode_text(body))
     while True:
         try:
@@ -25,28 +25,32 @@
 
 
 def measure(scale: Scale, budget: MeasurementBudget, seed: int) -> list[Figure]:
-    """All measures of discovery's messages at one scale; the bytes are those of whole HTTP answers."""
+    """Measure the responses of discovery at one scale; sizes are those of complete HTTP responses."""
     del seed  # nothing is drawn
     reader = ListReader(ZONES, MACHINE_TYPES)
-    listed = encode_full_list(scale.servers, PORT)
-    change = encode_delta(scale.servers // 2, PORT, "leaving")
-    read_time = min_cpu_time_ns(lambda body: read(reader, body), lambda: listed, budget.block_seconds)
-    list_bytes, change_bytes = len(http_response(listed)), len(http_response(change))
+    full_list = encode_full_list(scale.servers, SERVER_PORT)
+    delta = encode_delta(scale.servers // 2, SERVER_PORT, "leaving")
+    read_time_ns = min_cpu_time_ns(
+        lambda body: read_list(reader, body), lambda: full_list, budget.block_seconds
+    )
+    list_bytes, delta_bytes = len(http_response(full_list)), len(http_response(delta))
     return [
         Figure("whole list, bytes to one balancer", "B", list_bytes),
-        Figure("one change, bytes to one balancer", "B", change_bytes),
+        Figure("one change, bytes to one balancer", "B", delta_bytes),
         Figure("whole list, bytes to all balancers", "B", list_bytes * scale.balancers),
-        Figure("one change, bytes to all balancers", "B", change_bytes * scale.balancers),
-        Figure("a day of changes, bytes to one balancer", "B", change_bytes * scale.changes),
-        Figure("whole list, reading, processor time", "ms", read_time / 1e6),
-        Figure("whole list, reading, lines", "lines", count_executed_lines(lambda: read(reader, listed))),
-        Figure("one change, reading, lines", "lines", count_executed_lines(lambda: read(reader, change))),
+        Figure("one change, bytes to all balancers", "B", delta_bytes * scale.balancers),
+        Figure("a day of changes, bytes to one balancer", "B", delta_bytes * scale.changes),
+        Figure("whole list, reading, processor time", "ms", read_time_ns / 1e6),
+        Figure(
+            "whole list, reading, lines", "lines", count_executed_lines(lambda: read_list(reader, full_list))
+        ),
+        Figure("one change, reading, lines", "lines", count_executed_lines(lambda: read_list(reader, delta))),
     ]
 
 
 ROLE = Role(
     name="discovery",
-    description="bytes of discovery's answers, and the balancer's reader of them in this process",
+    description="size of the responses of discovery, and the work of parsing them, in this process",
     axes=(Axis.SERVERS, Axis.BALANCERS, Axis.CHANGES),
     quick_axes=(Axis.SERVERS, Axis.BALANCERS, Axis.CHANGES),
     measure=measure,
--- a/emulator/slopes/module_host.py
+++ b/emulator/slopes/module_host.py
@@ -1,4 +1,4 @@
-"""Hosts one instance of the decision module: plays events to it on a clock of its own and does as it says."""
+"""Runs the decision module of one balancer on a simulated clock: passes it events, executes its actions."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 )
 from emulator.slopes.sizes import Scale
 
-START_NS = 100 * NS_PER_S  # of the module's clock
+START_NS = 100 * NS_PER_S  # on the simulated clock
 SERVICE_TIME_NS = 20 * NS_PER_MS  # of every attempt
 
 
 class ModuleHost:
-    """Plays requests, timers and lists to one instance of the module; every attempt ends well."""
+    """Passes requests, timers and server lists to one balancer; the first attempt of a request succeeds."""
 
     def __init__(self, scale: Scale, seed: int, balancer_index: int = 0) -> None:
         self.scale = scale
@@ -44,59 +44,65 @@
         self.timers: list[tuple[int, str]] = []
         self.log_bytes = self.timer_count = 0
         self.request_count = 0
-        self.max_timer_call_ns = 0  # nanoseconds of processor time in one timer's call
-        self.attempts_by_server: dict[int, int] = {}  # by server
-        self._take(self.balancer.on_start(self.now_ns))
+        self.max_timer_call_ns = 0  # processor time of the longest on_timer call
+        self.attempts_by_server: dict[int, int] = {}
+        self._process_actions(self.balancer.on_start(self.now_ns))
         self.full_list = ServerListUpdate(
             ListKind.FULL, tuple(build_server_entry(n) for n in range(scale.servers))
         )
 
     def apply_full_list(self) -> None:
-        """Tell the whole list of servers."""
-        self._take(self.balancer.on_list(self.now_ns, self.full_list))
+        """Pass the full server list to the balancer."""
+        self._process_actions(self.balancer.on_list(self.now_ns, self.full_list))
 
     def change_server(self, state: ServerState) -> None:
-        """Tell that one server is in a new state."""
+        """Pass a delta with the new state of one server to the balancer."""
         changed = build_server_entry(self.scale.servers // 2, state)
-        self._take(self.balancer.on_list(self.now_ns, ServerListUpdate(ListKind.DELTA, (changed,))))
+        self._process_actions(
+            self.balancer.on_list(self.now_ns, ServerListUpdate(ListKind.DELTA, (changed,)))
+        )
 
     def serve_requests(self, count: int) -> None:
-        """Play requests at the scale's rate, one after another, each answered before the next."""
-        gap = NS_PER_S // self.scale.requests
+        """Serve requests one after another, at the request rate of the scale."""
+        interval_ns = NS_PER_S // self.scale.requests
         for _ in range(count):
-            self.advance_to(self.now_ns + max(0, gap - SERVICE_TIME_NS))
+            self.advance_to(self.now_ns + max(0, interval_ns - SERVICE_TIME_NS))
             self.serve_request()
 
     def serve_request(self) -> None:
-        """One request with its outcome: the first attempt is answered, and copies of it are cancelled."""
+        """Serve one request: its first attempt succeeds, and its copies at other servers are cancelled."""
         self.request_count += 1
-        name = f"r{self.request_count}"
+        request_id = f"r{self.request_count}"
         request = Request(
-            id=name,
+            id=request_id,
             class_index=self.random.randrange(self.scale.services),
             deadline=self.now_ns + REQUEST_TIMEOUT_MS * NS_PER_MS,
             tenant_index=self.random.randrange(self.scale.tenants),
         )
-        sends = [a for a in self._take(self.balancer.on_request(self.now_ns, request)) if isinstance(a, Send)]
+        sends = [
+            action
+            for action in self._process_actions(self.balancer.on_request(self.now_ns, request))
+            if isinstance(action, Send)
+        ]
         self.now_ns += SERVICE_TIME_NS
-        for number, send in enumerate(sends):
+        for attempt_index, send in enumerate(sends):
             self.attempts_by_server[send.server_id] = self.attempts_by_server.get(send.server_id, 0) + 1
-            outcome = Outcome.CANCELLED if number else Outcome.OK
-            end = AttemptEnd(name, number, send.server_id, outcome, SERVICE_TIME_NS, True)
-            self._take(self.balancer.on_attempt_end(self.now_ns, end))
+            outcome = Outcome.CANCELLED if attempt_index else Outcome.OK
+            end = AttemptEnd(request_id, attempt_index, send.server_id, outcome, SERVICE_TIME_NS, True)
+            self._process_actions(self.balancer.on_attempt_end(self.now_ns, end))
 
     def advance_to(self, time_ns: int) -> None:
-        """Let time pass, with the timers that come due."""
+        """Advance the clock to `time_ns`, and fire the timers that are due until then."""
         while self.timers and self.timers[0][0] <= time_ns:
-            at, token = heapq.heappop(self.timers)
-            self.now_ns = max(self.now_ns, at)
-            began = time.thread_time_ns()
+            fire_at, token = heapq.heappop(self.timers)
+            self.now_ns = max(self.now_ns, fire_at)
+            call_started_at = time.thread_time_ns()
             actions = self.balancer.on_timer(self.now_ns, token)
-            self.max_timer_call_ns = max(self.max_timer_call_ns, time.thread_time_ns() - began)
-            self._take(actions)
+            self.max_timer_call_ns = max(self.max_timer_call_ns, time.thread_time_ns() - call_started_at)
+            self._process_actions(actions)
         self.now_ns = time_ns
 
-    def _take(self, actions: list[Action]) -> list[Action]:
+    def _process_actions(self, actions: list[Action]) -> list[Action]:
         for action in actions:
             if isinstance(action, SetTimer):
                 self.timer_count += 1
--- a/emulator/slopes/standins.py
+++ b/emulator/slopes/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback: the agent that speaks discovery's protocol, and photo servers."""
+"""Stand-ins on loopback: the discovery agent of a machine, and photo servers."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from emulator.discovery_schema import Listing
 from emulator.slopes.deployment import encode_delta, encode_full_list, server_host
 
-SERVICE_TIME_S = 0.02  # that a photo server holds each request
+SERVICE_TIME_S = 0.02  # how long a photo server holds each request
 LOCALHOST = "127.0.0.1"
 MAX_PORT_ATTEMPTS = 20
 
 
 def http_response(body: bytes, status: str = "200 OK") -> bytes:
-    """A whole HTTP answer."""
+    """Return the bytes of an HTTP response."""
     return f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
 
 
 class HttpServerProtocol(asyncio.Protocol):
-    """Parses requests on one connection; subclasses answer them one at a time."""
+    """Parses the requests of one connection; subclasses respond to them one at a time."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
@@ -32,15 +32,15 @@
         self.target = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by the loop."""
+        """Callback of asyncio.Protocol."""
         self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Called by the loop."""
+        """Callback of asyncio.Protocol."""
         self.transport = None
 
     def data_received(self, data: bytes) -> None:
-        """Called by the loop."""
+        """Callback of asyncio.Protocol."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
@@ -48,15 +48,15 @@
                 self.transport.abort()
 
     def on_message_begin(self) -> None:
-        """Called by the parser."""
+        """Callback of the parser."""
         self.target = b""
 
     def on_url(self, url: bytes) -> None:
-        """Called by the parser, maybe with a part of it."""
+        """Callback of the parser, possibly with a part of the target."""
         self.target += url
 
     def write(self, data: bytes) -> int:
-        """Send, unless the connection is gone; says how many bytes were sent."""
+        """Send data unless the connection is closed; returns the number of bytes sent."""
         if self.transport is None:
             return 0
         self.transport.write(data)
@@ -64,70 +64,69 @@
 
 
 class PhotoServerProtocol(HttpServerProtocol):
-    """Answers each request after the service time; the body tells for how many nanoseconds it was held."""
+    """Responds to each request after the service time; the body is the time it was held, in nanoseconds."""
 
     def on_message_complete(self) -> None:
-        """Called by the parser."""
+        """Callback of the parser."""
         loop = asyncio.get_running_loop()
-        loop.call_later(SERVICE_TIME_S, self._answer, time.monotonic_ns())
+        loop.call_later(SERVICE_TIME_S, self._respond, time.monotonic_ns())
 
-    def _answer(self, arrived: int) -> None:
-        self.write(http_response(b"%d" % (time.monotonic_ns() - arrived)))
+    def _respond(self, received_at: int) -> None:
+        self.write(http_response(b"%d" % (time.monotonic_ns() - received_at)))
 
 
 async def start_photo_servers(servers: int) -> int:
-    """Listen at an address of its own for each server, all on one port, which is returned."""
+    """Start servers on different loopback addresses and a common port, and return the port."""
     loop = asyncio.get_running_loop()
     hosts = [server_host(n) for n in range(servers)]
     for _ in range(MAX_PORT_ATTEMPTS):
-        probe = await loop.create_server(PhotoServerProtocol, hosts[0], 0)
-        port = int(probe.sockets[0].getsockname()[1])
+        first_server = await loop.create_server(PhotoServerProtocol, hosts[0], 0)
+        port = int(first_server.sockets[0].getsockname()[1])
         try:
             if len(hosts) > 1:
                 await loop.create_server(PhotoServerProtocol, hosts[1:], port)
-        except OSError:  # taken at one of them by another program
-            probe.close()
+        except OSError:  # another program uses the port on one of the addresses
+            first_server.close()
             continue
         return port
-    raise OSError("no port is free at all servers' addresses")
+    raise OSError("no port is free on all server addresses")
 
 
 class DiscoveryAgent:
-    """What discovery has told this balancer's machine, and the calls that wait for something newer."""
+    """The server list of discovery on this machine, and the long polls that wait for a newer one."""
 
     def __init__(self, servers: int, server_port: int) -> None:
         self.servers = servers
         self.server_port = server_port
         self.generation = 1
         self.full_list_response = http_response(encode_full_list(servers, server_port))
-        self.delta_response = b""  # the latest one, already an answer
-        self.withholds_responses = False  # calls wait, also for the first list
-        self.pending_polls: dict[
-            DiscoveryAgentProtocol, int | None
-        ] = {}  # with the generation that the caller has
+        self.delta_response = b""  # of the latest change
+        self.withholds_responses = False  # all calls wait, also those for the first list
+        # The generation that the caller of each long poll has.
+        self.pending_polls: dict[DiscoveryAgentProtocol, int | None] = {}
         self.bytes_in = self.bytes_out = 0
 
-    def publish_change(self, number: int, lifecycle: str) -> None:
-        """Tell one changed entry to all who wait."""
+    def publish_change(self, server_id: int, lifecycle: str) -> None:
+        """Change one entry, and respond to all pending long polls."""
         self.generation += 1
         self.delta_response = http_response(
-            encode_delta(number, self.server_port, lifecycle, self.generation)
+            encode_delta(server_id, self.server_port, lifecycle, self.generation)
         )
         self.release_responses()
 
     def release_responses(self) -> None:
-        """Answer all calls that wait and have something to be told."""
+        """Respond to all pending long polls for which there is a newer list."""
         self.withholds_responses = False
-        for caller, known in list(self.pending_polls.items()):
-            if known != self.generation:
-                self.respond(caller, known)
+        for caller, known_generation in list(self.pending_polls.items()):
+            if known_generation != self.generation:
+                self.respond(caller, known_generation)
 
-    def respond(self, caller: DiscoveryAgentProtocol, known: int | None) -> None:
-        """Answer one call: nothing new, the latest change, or the whole list."""
+    def respond(self, caller: DiscoveryAgentProtocol, known_generation: int | None) -> None:
+        """Respond to one call: with an empty delta, the latest change or the full list."""
         self.pending_polls.pop(caller, None)
-        if known == self.generation:
+        if known_generation == self.generation:
             data = http_response(msgspec.json.encode(Listing(self.generation, False, [])))
-        elif known is not None and known == self.generation - 1:
+        elif known_generation is not None and known_generation == self.generation - 1:
             data = self.delta_response
         else:
             data = http_response(encode_full_list(self.servers, self.server_port, self.generation))
@@ -137,43 +136,46 @@
 
 
 class DiscoveryAgentProtocol(HttpServerProtocol):
-    """One connection of the balancer to its agent."""
+    """A connection of the balancer to its agent."""
 
     def __init__(self, agent: DiscoveryAgent) -> None:
         super().__init__()
         self.agent = agent
 
     def data_received(self, data: bytes) -> None:
-        """Called by the loop."""
+        """Callback of asyncio.Protocol."""
         self.agent.bytes_in += len(data)
         super().data_received(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Called by the loop."""
+        """Callback of asyncio.Protocol."""
         super().connection_lost(exc)
         self.agent.pending_polls.pop(self, None)
 
     def on_message_complete(self) -> None:
-        """Called by the parser."""
+        """Callback of the parser."""
         query = parse_qs(urlsplit(self.target).query.decode())
-        known = int(query["from"][0]) if "from" in query else None
-        hold = int(query.get("hold_ms", ["0"])[0]) / 1000
+        known_generation = int(query["from"][0]) if "from" in query else None
+        hold_s = int(query.get("hold_ms", ["0"])[0]) / 1000
         agent = self.agent
         if agent.withholds_responses:
-            agent.pending_polls[self] = known
-        elif known != agent.generation or not hold:
-            agent.respond(self, known)
+            agent.pending_polls[self] = known_generation
+        elif known_generation != agent.generation or not hold_s:
+            agent.respond(self, known_generation)
         else:
-            agent.pending_polls[self] = known
-            asyncio.get_running_loop().call_later(hold, self._expire, known)
+            agent.pending_polls[self] = known_generation
+            asyncio.get_running_loop().call_later(hold_s, self._end_long_poll, known_generation)
 
-    def _expire(self, known: int | None) -> None:
-        if self.agent.pending_polls.get(self) == known and known == self.agent.generation:
-            self.agent.respond(self, known)
+    def _end_long_poll(self, known_generation: int | None) -> None:
+        if (
+            self.agent.pending_polls.get(self) == known_generation
+            and known_generation == self.agent.generation
+        ):
+            self.agent.respond(self, known_generation)
 
 
 async def start_discovery_agent(agent: DiscoveryAgent) -> int:
-    """Listen on a free port, which is returned."""
+    """Listen on a free port, and return the port."""
     server = await asyncio.get_running_loop().create_server(
         lambda: DiscoveryAgentProtocol(agent), LOCALHOST, 0
     )
