--- a/emulator/fleet/clients.py
+++ b/emulator/fleet/clients.py
@@ -31,8 +31,8 @@
 from emulator.fleet.timeline import Event
 
 ROLE = "clients"
-TICK_S = 0.001
-MAX_DEADLINE_RUN_NS = 5_000_000  # longest run of deadlines before the sockets are polled again
+TIMER_INTERVAL_S = 0.001
+MAX_TIMER_RUN_NS = 5_000_000  # of timers in one go, before the event loop serves the sockets again
 RESPONSE_GRACE_NS = 20 * NS_PER_MS  # a client waits this long after the timeout of its try
 REFUSAL_STATUSES = (429, 503)
 
@@ -64,7 +64,7 @@
         balancers = scenario.balancers.real
         self.config = config
         self.scenario = scenario
-        self.deadlines = TimerQueue()
+        self.timers = TimerQueue()
         self.model = ClientModel(scenario, layout, f"{config.seed}/clients")
         self._random = Random(f"{config.seed}/choice of balancer")
         self._rates = [balancer_requests_per_s(scenario, layout, number) for number in range(balancers)]
@@ -77,7 +77,7 @@
         self._added, self._lag = LatencyRecorder(), LatencyRecorder()
         self._invalid_answers = 0
 
-    # ---- Part: start and end of the process ----
+    # ---- ChildRole: start and end of the process ----
 
     async def listen(self) -> None:
         """Do nothing: clients accept no connections."""
@@ -88,7 +88,7 @@
         for number, rate in enumerate(self._rates):
             if rate:
                 self._schedule_arrival(number, start_ns)
-        self._start_task(self._tick())
+        self._start_task(self._run_timers())
 
     def apply(self, event: Event) -> None:
         """Do nothing: clients learn of events only by the responses that they receive."""
@@ -105,18 +105,16 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _tick(self) -> None:
+    async def _run_timers(self) -> None:
         while True:
-            is_work_left = self.deadlines.run_due(
-                time.monotonic_ns, time.monotonic_ns() + MAX_DEADLINE_RUN_NS
-            )
-            await asyncio.sleep(0 if is_work_left else TICK_S)
+            has_due_timers = self.timers.run_due(time.monotonic_ns, time.monotonic_ns() + MAX_TIMER_RUN_NS)
+            await asyncio.sleep(0 if has_due_timers else TIMER_INTERVAL_S)
 
     # ---- tries ----
 
     def _schedule_arrival(self, balancer: int, after: int) -> None:
         due = after + self.model.draw_interarrival_ns(self._rates[balancer])
-        self.deadlines.add(due, partial(self._arrive, balancer, due))
+        self.timers.add(due, partial(self._arrive, balancer, due))
 
     def _arrive(self, balancer: int, due: int, now: int) -> None:
         self._counts.asked += 1
@@ -132,9 +130,9 @@
         open_try = OpenTry(client_try, now)
         self._open_tries.add(open_try)
         expires_at = client_try.sent_at + client_try.timeout_ns + RESPONSE_GRACE_NS
-        self.deadlines.add(expires_at, partial(self._expire, open_try))
+        self.timers.add(expires_at, partial(self._expire, open_try))
         if client_try.request.disconnects_after_ns and client_try.index == 0:
-            self.deadlines.add(
+            self.timers.add(
                 client_try.sent_at + client_try.request.disconnects_after_ns,
                 partial(self._disconnect, open_try),
             )
@@ -222,7 +220,7 @@
             self._counts.count_request_outcome(self.model.request_outcome(now, open_try.client_try, outcome))
         else:
             balancer = self._random.randrange(len(self._pools))
-            self.deadlines.add(retry.sent_at, partial(self._start_try, balancer, retry))
+            self.timers.add(retry.sent_at, partial(self._start_try, balancer, retry))
 
     # ---- measures ----
 
--- a/emulator/fleet/discovery_agent.py
+++ b/emulator/fleet/discovery_agent.py
@@ -146,16 +146,16 @@
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Part of asyncio.Protocol."""
+        """Callback of asyncio.Protocol."""
         self._transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Part of asyncio.Protocol."""
+        """Callback of asyncio.Protocol."""
         self._transport = None
         self._transfers.finish(self)
 
     def data_received(self, data: bytes) -> None:
-        """Part of asyncio.Protocol."""
+        """Callback of asyncio.Protocol."""
         self._agent.traffic.received_bytes += len(data)
         try:
             self._parser.feed_data(data)
--- a/emulator/fleet/photo_server_batch.py
+++ b/emulator/fleet/photo_server_batch.py
@@ -36,12 +36,12 @@
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Part of asyncio.Protocol."""
+        """Callback of asyncio.Protocol."""
         self._transport = cast(asyncio.Transport, transport)
         self._connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Part of asyncio.Protocol: the worker has ended, so cancel its attempts."""
+        """Callback of asyncio.Protocol: the worker has ended, so cancel its attempts."""
         self._transport = None
         self._connections.discard(self)
         for attempt in self._open_attempts.values():
@@ -49,7 +49,7 @@
         self._open_attempts.clear()
 
     def data_received(self, data: bytes) -> None:
-        """Part of asyncio.Protocol."""
+        """Callback of asyncio.Protocol."""
         self._received += data
         try:
             for body in split_frames(self._received):
--- a/emulator/fleet/photo_server_http.py
+++ b/emulator/fleet/photo_server_http.py
@@ -111,13 +111,13 @@
     # ---- callbacks of the transport ----
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Part of asyncio.Protocol."""
+        """Callback of asyncio.Protocol."""
         self._transport = cast(asyncio.Transport, transport)
         self._endpoint.connections.add(self)
         self._context.group.connection_tables[self._endpoint.number].count_opened()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Part of asyncio.Protocol: closing the connection cancels its attempt."""
+        """Callback of asyncio.Protocol: closing the connection cancels its attempt."""
         self._transport = None
         self._endpoint.connections.discard(self)
         self._context.group.connection_tables[self._endpoint.number].open_count -= 1
@@ -126,7 +126,7 @@
             self._attempt = None
 
     def data_received(self, data: bytes) -> None:
-        """Part of asyncio.Protocol."""
+        """Callback of asyncio.Protocol."""
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
