--- a/emulator/fleet/hollow.py
+++ b/emulator/fleet/hollow.py
@@ -130,7 +130,7 @@
         self._open_tries: dict[str, OpenTry] = {}
         self._servers: dict[int, int] = {}  # decision module's id -> stand-in's number, of ready servers
         self._try_count = 0
-        self._call_number = seed % CPU_SAMPLE_INTERVAL  # over the whole life; selects the measured calls
+        self._call_number = seed % CPU_SAMPLE_INTERVAL  # of all calls; selects the measured ones
 
     @property
     def open_try_count(self) -> int:
@@ -151,13 +151,13 @@
     def stop(self, now: int) -> list[ClientTry]:
         """Stop at once, as after SIGKILL; returns the tries whose clients lose their connection."""
         self.stopped = True
-        lost = [one.client_try for one in self._open_tries.values() if not one.closed]
-        for one in self._open_tries.values():
-            for attempt in one.attempts:
+        lost_tries = [open_try.client_try for open_try in self._open_tries.values() if not open_try.closed]
+        for open_try in self._open_tries.values():
+            for attempt in open_try.attempts:
                 if attempt is not None:
                     self.effects.cancel(attempt)
         self._open_tries.clear()
-        return lost
+        return lost_tries
 
     def submit(self, now: int, client_try: ClientTry) -> str:
         """Accept a client's try; returns its name, which is its request id."""
@@ -190,13 +190,15 @@
         """Apply a full server list or a delta."""
         if kind is not ListKind.DELTA:
             self._servers.clear()
-        for one in listed:
-            if one.entry.state is ServerState.READY:
-                self._servers[one.entry.id] = one.number
+        for listed_server in listed:
+            if listed_server.entry.state is ServerState.READY:
+                self._servers[listed_server.entry.id] = listed_server.number
             else:
-                self._servers.pop(one.entry.id, None)
+                self._servers.pop(listed_server.entry.id, None)
         self._call_module(
-            now, self._decision_module.on_list, ServerListUpdate(kind, tuple(one.entry for one in listed))
+            now,
+            self._decision_module.on_list,
+            ServerListUpdate(kind, tuple(listed_server.entry for listed_server in listed)),
         )
 
     def discovery_failed(self, now: int, kind: ListKind) -> None:
--- a/emulator/fleet/hollow_discovery.py
+++ b/emulator/fleet/hollow_discovery.py
@@ -15,7 +15,7 @@
 from dykeshift.node.listing import ListedServer, ListReader
 from emulator.fleet.contract import Address
 
-NO_SERVER_NUMBER = -1  # of an entry without an address, as its server is gone
+NO_SERVER_NUMBER = -1  # of an entry without an address, as its server no longer exists
 ADDRESSES_PER_OCTET = 254  # loopback addresses of a block that share the third octet
 
 
--- a/emulator/fleet/process.py
+++ b/emulator/fleet/process.py
@@ -92,7 +92,7 @@
     sys.stdout.buffer.flush()
 
 
-class TimelinePlayer:
+class EventScheduler:
     """Applies each event of a timeline at its time."""
 
     def __init__(
@@ -108,14 +108,16 @@
         self._apply = apply
         self._next_event = 0
 
-    def play(self) -> None:
+    def apply_due_events(self) -> None:
         """Apply the events that are due and set a timer for the next one."""
         now_s = self._clock.now_s()
         while self._next_event < len(self._timeline) and self._timeline[self._next_event].at_s <= now_s:
             self._next_event += 1
             self._apply(self._timeline[self._next_event - 1])
         if self._next_event < len(self._timeline):
-            self._loop.call_later(max(0.0, self._timeline[self._next_event].at_s - now_s), self.play)
+            self._loop.call_later(
+                max(0.0, self._timeline[self._next_event].at_s - now_s), self.apply_due_events
+            )
 
 
 class _MeasureTimer:
@@ -170,7 +172,7 @@
         return
     clock = ScenarioClock(start.monotonic_ns)
     child.start(clock)
-    TimelinePlayer(loop, clock, fleet.timeline, child.apply).play()
+    EventScheduler(loop, clock, fleet.timeline, child.apply).apply_due_events()
     measure_timer = _MeasureTimer(loop, clock, child)
     measure_timer.schedule()
     while await lines.readline():
--- a/emulator/fleet/summary.py
+++ b/emulator/fleet/summary.py
@@ -148,7 +148,7 @@
         starting_s=round(record.starting_s, 3),
         time_compression=record.scenario.time_compression,
         interrupted=record.interrupted,
-        dead=[dead.name for dead in record.failed_processes],
+        dead=[failure.name for failure in record.failed_processes],
         notes=_find_notes(hollow, real),
         change=change,
         hollow=hollow,
@@ -291,7 +291,7 @@
         HOLLOW_ROLE: _mean_hollow_bytes_per_s(record.hollow),
         DISCOVERY_ROLE: mean_discovery_bytes_per_s(record),
     }
-    return {role: _summarize_role(own, network.get(role)) for role, own in by_role.items()}
+    return {role: _summarize_role(measures, network.get(role)) for role, measures in by_role.items()}
 
 
 def _mean_hollow_bytes_per_s(measures: list[HollowMeasure]) -> float | None:
@@ -323,7 +323,7 @@
     bytes_per_s: float | None,
     real: RequestFigures | None,
     servers: ServerFigures,
-    dead: int,
+    failed_process_count: int,
 ) -> list[Bar]:
     """The bars of a fleet; the cost of a balancer is that of its whole process, including its requests."""
     balancer = roles.get(BALANCER_ROLE)
@@ -337,5 +337,5 @@
         Bar("bytes of discovery for a balancer", bytes_per_s, DISCOVERY_BYTES_PER_S_BAR, "B/s"),
         Bar("added latency of real balancers, p99", added_ms, ADDED_LATENCY_BAR_MS, "ms"),
         Bar("cold servers pushed over", servers.pushed_over, 0.0, "servers"),
-        Bar("processes that died", float(dead), 0.0, "processes"),
+        Bar("processes that died", float(failed_process_count), 0.0, "processes"),
     ]
--- a/emulator/fleet/supervisor.py
+++ b/emulator/fleet/supervisor.py
@@ -247,7 +247,7 @@
         return bool(self.record.failed_processes)
 
     def _record_failure(self, name: str, exit_code: int | None, lines: list[str]) -> None:
-        if name not in {dead.name for dead in self.record.failed_processes}:
+        if name not in {failure.name for failure in self.record.failed_processes}:
             self.record.failed_processes.append(FailedProcess(name, exit_code, tuple(lines)))
 
     # ---- stop ----
--- a/tests/emulator/test_fleet_hollow.py
+++ b/tests/emulator/test_fleet_hollow.py
@@ -189,10 +189,11 @@
 
 
 def test_split_quota_admits_less_than_the_whole_quota() -> None:
-    whole, parts = TokenBucket(10.0, 0.0), [TokenBucket(0.1, 0.0) for _ in range(100)]
-    at_one = sum(parts[0].consume(second / 10) for second in range(100))  # all requests come to one balancer
-    at_whole = sum(whole.consume(second / 10) for second in range(100))
-    assert at_one < 3 and at_whole == 100
+    whole_quota, split_quotas = TokenBucket(10.0, 0.0), [TokenBucket(0.1, 0.0) for _ in range(100)]
+    # All requests come to one balancer.
+    admitted_by_one_part = sum(split_quotas[0].consume(second / 10) for second in range(100))
+    admitted_by_whole = sum(whole_quota.consume(second / 10) for second in range(100))
+    assert admitted_by_one_part < 3 and admitted_by_whole == 100
 
 
 def test_latency_percentiles_are_accurate_to_one_percent() -> None:
--- a/tests/emulator/test_standins.py
+++ b/tests/emulator/test_standins.py
@@ -34,7 +34,7 @@
 from emulator.fleet.photo_server import PhotoServerState
 from emulator.fleet.photo_server_group import PhotoServerGroup, TrackedAttempt
 from emulator.fleet.photo_server_process import PhotoServerProcess
-from emulator.fleet.process import FleetContext, ScenarioClock, TimelinePlayer
+from emulator.fleet.process import FleetContext, ScenarioClock, EventScheduler
 from emulator.fleet.scenario import Scenario, load_scenario
 from emulator.free_ports import find_free_ports
 
@@ -258,7 +258,9 @@
     await process.listen()
     clock = ScenarioClock(time.monotonic_ns())
     process.start(clock)
-    TimelinePlayer(asyncio.get_running_loop(), clock, process.fleet.timeline, process.apply).play()
+    EventScheduler(
+        asyncio.get_running_loop(), clock, process.fleet.timeline, process.apply
+    ).apply_due_events()
     try:
         yield clock
     finally:
