--- a/emulator/slopes/balancer_process.py
+++ b/emulator/slopes/balancer_process.py
@@ -1,4 +1,4 @@
-"""The real program as a process of the rig: started as the deployment does, measured, stopped by its id."""
+"""A balancer process of the rig: started with the deployed command, measured and finally killed."""
 
 from __future__ import annotations
 
@@ -17,15 +17,18 @@
 from emulator.slopes.client import Address, ReadinessProbe
 from emulator.slopes.standins import LOCALHOST
 
-READY_TIMEOUT_S = 40.0  # until a balancer has to be ready
+READY_TIMEOUT_S = 40.0  # from the start of a balancer
 
 
 class RigError(Exception):
-    """The balancer cannot be measured; its text is one line for people."""
+    """The balancer cannot be measured; the message is one line for the user."""
 
 
 def process_cpu_seconds(process: psutil.Process) -> float:
-    """Processor time of all threads: from the scheduler in nanoseconds, else in steps of 10 ms."""
+    """Return the processor time of all threads in seconds.
+
+    The scheduler's statistics are used where available; without them the resolution is 10 ms.
+    """
     try:
         threads = Path(f"/proc/{process.pid}/task").glob("*/schedstat")
         nanoseconds = [int(thread.read_text().split()[0]) for thread in threads]
@@ -38,7 +41,7 @@
 
 
 class BalancerProcess:
-    """The real program, as the deployment runs it."""
+    """A balancer process, started with the deployed command."""
 
     def __init__(self, process: asyncio.subprocess.Process, address: Address, log_path: Path) -> None:
         self.process = process
@@ -46,38 +49,41 @@
         self.log_path = log_path
         self.psutil_process = psutil.Process(process.pid)
 
-    def _tree(self) -> list[psutil.Process]:
+    def _process_tree(self) -> list[psutil.Process]:
         return [self.psutil_process, *self.psutil_process.children(recursive=True)]
 
     def cpu_seconds(self) -> float:
-        """Processor time of the program since its start, with all processes that it started."""
-        return sum(process_cpu_seconds(one) for one in self._tree())
+        """Return the processor time since the start, including all child processes."""
+        return sum(process_cpu_seconds(process) for process in self._process_tree())
 
     def resident_bytes(self) -> int:
-        """Bytes resident, of all its processes."""
-        return sum(int(one.memory_info().rss) for one in self._tree())
+        """Return the resident memory, including all child processes."""
+        return sum(int(process.memory_info().rss) for process in self._process_tree())
 
     def log_bytes(self) -> int:
-        """Bytes that it has written to standard output and error."""
+        """Return the number of bytes written to standard output and standard error."""
         return self.log_path.stat().st_size
 
-    def _last_line(self) -> str:
+    def _last_log_line(self) -> str:
         lines = self.log_path.read_text(errors="replace").splitlines()
-        return lines[-1] if lines else "nothing in its log"
+        return lines[-1] if lines else "its log is empty"
 
     async def wait_ready(self) -> None:
-        """Until `/ready` answers 200."""
+        """Wait until `/ready` responds with 200; raises RigError if the process exits before."""
         probe = ReadinessProbe(self.address)
         async with asyncio.timeout(READY_TIMEOUT_S):
             while await probe.probe() != 200:
                 if self.process.returncode is not None:
                     raise RigError(
-                        f"the balancer ended with code {self.process.returncode}: {self._last_line()}"
+                        f"the balancer exited with code {self.process.returncode}: {self._last_log_line()}"
                     )
                 await asyncio.sleep(0.02)
 
     async def stop(self) -> None:
-        """SIGKILL: all is measured, and a graceful stop would take more than a second for each start."""
+        """Kill the process.
+
+        All is measured by now, and a graceful shutdown would add more than a second for each start.
+        """
         if self.process.returncode is None:
             self.process.kill()
         await self.process.wait()
@@ -87,11 +93,11 @@
 async def running_balancer(
     settings: dict[str, Any], seed: int, agent_port: int
 ) -> AsyncIterator[BalancerProcess]:
-    """Start the program with these settings, and stop it in the end."""
+    """Run a balancer with these settings inside the context."""
     with tempfile.TemporaryDirectory(prefix="slopes-") as folder:
         (port,) = find_free_ports(1)
         address = (LOCALHOST, port)
-        config, log = Path(folder, "config.json"), Path(folder, "log")
+        config_path, log_path = Path(folder, "config.json"), Path(folder, "log")
         listen, discovery = f"{LOCALHOST}:{address[1]}", f"{LOCALHOST}:{agent_port}"
         configuration = {
             "name": "n0",
@@ -101,16 +107,16 @@
             "limits": BALANCER_LIMITS,
             "settings": settings,
         }
-        config.write_bytes(msgspec.json.encode(configuration))
+        config_path.write_bytes(msgspec.json.encode(configuration))
         environment = {
             "NODE_NAME": "n0",
             "NODE_LISTEN": listen,
             "NODE_DISCOVERY": discovery,
-            "NODE_CONFIG": str(config),
+            "NODE_CONFIG": str(config_path),
         }
-        with log.open("wb") as output:
-            process = await start_balancer(environment, stdout=output, stderr=output)
-        balancer = BalancerProcess(process, address, log)
+        with log_path.open("wb") as log_file:
+            process = await start_balancer(environment, stdout=log_file, stderr=log_file)
+        balancer = BalancerProcess(process, address, log_path)
         try:
             yield balancer
         finally:
--- a/emulator/slopes/process_role.py
+++ b/emulator/slopes/process_role.py
@@ -1,4 +1,4 @@
-"""The real balancer as a process, measured by a rig that is a process of its own."""
+"""The real balancer as a process, measured by the rig, which is a separate process."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from emulator.slopes.roles import Figure, MeasurementBudget, MeasurementError, Role
 from emulator.slopes.sizes import SMALL_DEPLOYMENT, TARGET, Axis, Scale
 
-DAY = 86_400
-STOP_SECONDS = 15.0  # for the rig to stop its balancer and end
-BAR_SCALES = (TARGET, SMALL_DEPLOYMENT)  # measured for longer: bars stand on them
+SECONDS_PER_DAY = 86_400
+RIG_STOP_TIMEOUT_S = 15.0  # for stopping the balancer and exiting
+BAR_SCALES = (TARGET, SMALL_DEPLOYMENT)  # measured for longer, because bars depend on them
 
 
 def run_rig(job: MeasurementJob) -> MeasurementResult:
-    """One job in a rig of its own, which is ended whatever happens."""
+    """Run a job in a new rig process, which is always stopped; raises MeasurementError if the job fails."""
     process = subprocess.Popen(
         [sys.executable, "-m", "emulator.slopes.rig"],
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
         cwd=PROJECT_ROOT,
-        start_new_session=True,  # SIGINT from a terminal reaches the command alone, which ends the rig
+        start_new_session=True,  # SIGINT from a terminal reaches only this process, which stops the rig
     )
     assert process.stdin is not None and process.stdout is not None
     try:
@@ -34,21 +34,21 @@
         process.stdin.flush()
         line = process.stdout.readline()
     finally:
-        _end(process)
+        _stop_rig(process)
     if not line:
-        raise MeasurementError(f"the rig ended with code {process.returncode} and no result")
+        raise MeasurementError(f"the rig exited with code {process.returncode} and without a result")
     result: MeasurementResult = msgspec.json.decode(line, type=MeasurementResult)
     if result.error is not None:
         raise MeasurementError(result.error)
     return result
 
 
-def _end(process: subprocess.Popen[bytes]) -> None:
-    """The rig stops its balancer and ends when its input ends."""
+def _stop_rig(process: subprocess.Popen[bytes]) -> None:
+    """Close the rig's input, upon which it stops its balancer and exits; kill both if it does not."""
     assert process.stdin is not None and process.stdout is not None
     process.stdin.close()
     try:
-        process.wait(STOP_SECONDS)
+        process.wait(RIG_STOP_TIMEOUT_S)
     except subprocess.TimeoutExpired:
         for child in psutil.Process(process.pid).children(recursive=True):
             child.kill()
@@ -58,8 +58,8 @@
 
 
 @cache
-def _steady(scale: Scale, budget: MeasurementBudget, seed: int) -> MeasurementResult:
-    """Idle and load of one scale come from one start of the balancer."""
+def _measure_idle_and_load(scale: Scale, budget: MeasurementBudget, seed: int) -> MeasurementResult:
+    """Measure the balancer idle and under load; cached, as both roles use the same start of the balancer."""
     idle_seconds, load_seconds = budget.idle_seconds, budget.load_seconds
     if scale in BAR_SCALES:
         idle_seconds, load_seconds = budget.bar_idle_seconds, budget.bar_load_seconds
@@ -67,11 +67,11 @@
 
 
 def measure_idle(scale: Scale, budget: MeasurementBudget, seed: int) -> list[Figure]:
-    """The balancer with no requests."""
-    idle = _steady(scale, budget, seed).idle
+    """Measure the balancer without requests."""
+    idle = _measure_idle_and_load(scale, budget, seed).idle
     assert idle is not None
-    changes = idle.change_bytes * scale.changes / DAY
-    control = idle.control_in_per_s + idle.control_out_per_s + changes
+    change_bytes_per_s = idle.change_bytes * scale.changes / SECONDS_PER_DAY
+    control_per_s = idle.control_in_per_s + idle.control_out_per_s + change_bytes_per_s
     return [
         Figure("idle, share of a core", "%", 100 * idle.cpu_share),
         Figure("idle, resident memory", "MB", idle.resident / 1e6),
@@ -79,13 +79,13 @@
         Figure("idle, control traffic in", "B/s", idle.control_in_per_s),
         Figure("idle, control traffic out", "B/s", idle.control_out_per_s),
         Figure("one change, bytes both ways", "B", idle.change_bytes),
-        Figure("idle, control traffic with a day's changes, and log", "B/s", control + idle.log_per_s),
+        Figure("idle, control traffic with a day's changes, and log", "B/s", control_per_s + idle.log_per_s),
     ]
 
 
 def measure_load(scale: Scale, budget: MeasurementBudget, seed: int) -> list[Figure]:
-    """The balancer at the scale's rate of requests."""
-    load = _steady(scale, budget, seed).load
+    """Measure the balancer at the request rate of the scale."""
+    load = _measure_idle_and_load(scale, budget, seed).load
     assert load is not None
     balanced, direct = load.balanced, load.direct
     return [
@@ -101,32 +101,35 @@
 
 
 def measure_first_list(scale: Scale, budget: MeasurementBudget, seed: int) -> list[Figure]:
-    """How long the first list holds the balancer's event loop, seen by pings from outside; the best start."""
+    """Measure by probes of `/ready` how long the first list blocks the event loop of the balancer.
+
+    The start with the shortest wait counts.
+    """
     results = [run_rig(MeasurementJob(scale, seed, first_list=True)).first_list for _ in range(budget.starts)]
-    waits = [result for result in results if result is not None]
+    starts = [result for result in results if result is not None]
     return [
-        Figure("first list, longest wait for /ready", "ms", min(wait.during for wait in waits)),
-        Figure("before the list, longest wait for /ready", "ms", min(wait.before for wait in waits)),
+        Figure("first list, longest wait for /ready", "ms", min(start.during for start in starts)),
+        Figure("before the list, longest wait for /ready", "ms", min(start.before for start in starts)),
     ]
 
 
 IDLE_ROLE = Role(
     name="balancer-idle",
-    description="the real program with no requests: processor, memory, log and control traffic",
+    description="a balancer process without requests: processor time, memory, log and control traffic",
     axes=(Axis.SERVERS, Axis.TENANTS, Axis.SERVICES, Axis.BALANCERS, Axis.FLEET),
     quick_axes=(Axis.FLEET,),
     measure=measure_idle,
 )
 LOAD_ROLE = Role(
     name="balancer-load",
-    description="the real program under an open-loop load: processor, memory, log and added latency",
+    description="a balancer process under an open-loop load: processor time, memory, log and added latency",
     axes=(Axis.SERVERS, Axis.TENANTS, Axis.SERVICES, Axis.BALANCERS, Axis.REQUESTS, Axis.FLEET),
     quick_axes=(Axis.FLEET,),
     measure=measure_load,
 )
 FIRST_LIST_ROLE = Role(
     name="first-list",
-    description="the real program as it takes its first list: longest wait for /ready, pinged from outside",
+    description="a balancer process that receives its first list: longest wait for a response of /ready",
     axes=(Axis.SERVERS, Axis.FLEET),
     quick_axes=(Axis.FLEET,),
     measure=measure_first_list,
--- a/emulator/slopes/rig.py
+++ b/emulator/slopes/rig.py
@@ -1,8 +1,8 @@
-"""The process around one real balancer: it starts it, stands in for all others and measures it.
+"""The rig: a process that starts one real balancer, surrounds it with stand-ins and clients, and measures it.
 
-Stand-ins and clients run here, so that none of their processor time is the balancer's. The job comes as one
-JSON line on standard input and the result leaves as one on standard output; when standard input ends, the
-balancer is stopped and this process ends.
+Stand-ins and clients run in this process, so that their processor time does not count as the balancer's. The
+process reads a job as one JSON line from standard input and writes the result as one JSON line to standard
+output. When standard input ends, it stops the balancer and exits.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 from emulator.slopes.sizes import Scale
 from emulator.slopes.standins import DiscoveryAgent, start_discovery_agent, start_photo_servers
 
-JOB_SECONDS = 120.0  # the longest that one job may take
-SETTLE_SECONDS = 0.5  # after ready, before it counts as idle
-WARM_SECONDS = 0.8  # of load before it is measured
-CHANGE_SECONDS = 0.3  # for one change to be told and the next call to come
-PINGS_BEFORE = 0.2  # seconds of pings before the list is told
-PINGS_AFTER = 0.6
-DIRECT_SERVERS = 10  # that the client without the balancer asks
+JOB_TIMEOUT_S = 120.0
+SETTLE_S = 0.5  # from ready until the balancer counts as idle
+WARM_UP_S = 0.8  # of load before the measurement
+CHANGE_EXCHANGE_S = 0.3  # for the response with one change and the next call of the balancer
+PROBE_BEFORE_LIST_S = 0.2
+PROBE_AFTER_LIST_S = 0.6
+MAX_DIRECT_SERVERS = 10  # that receive requests without the balancer
 
 
 class MeasurementJob(msgspec.Struct, frozen=True):
-    """What to measure; a phase of 0 is left out."""
+    """What to measure; a phase with a duration of 0 is skipped."""
 
     scale: Scale
     seed: int
@@ -41,20 +41,20 @@
 
 
 class IdleMeasurement(msgspec.Struct, frozen=True):
-    """A balancer with no requests."""
+    """Measurements of a balancer without requests."""
 
     cpu_share: float  # of one core
     resident: int  # bytes
     log_per_s: float
     control_in_per_s: float  # bytes from the agent
     control_out_per_s: float  # bytes to the agent
-    change_bytes: int  # that one change brings about, both ways
+    change_bytes: int  # exchanged with the agent for one change, in both directions
 
 
 class AddedLatency(msgspec.Struct, frozen=True):
-    """What a stream of requests took beyond the photo servers' own time, in milliseconds.
+    """Latency of a stream of requests without the service time of the photo servers, in milliseconds.
 
-    A request that is not served counts as if the client had waited in vain.
+    A request that is not served counts with the whole request timeout.
     """
 
     p50: float
@@ -64,7 +64,7 @@
 
 
 class LoadMeasurement(msgspec.Struct, frozen=True):
-    """A balancer under load, and the same stream straight to the photo servers meanwhile."""
+    """Measurements of a balancer under load, and of a simultaneous stream directly to the photo servers."""
 
     cpu_share: float
     resident: int
@@ -74,14 +74,14 @@
 
 
 class FirstListMeasurement(msgspec.Struct, frozen=True):
-    """Longest wait for an answer to `/ready`, in milliseconds."""
+    """Longest wait for a response of `/ready`, in milliseconds."""
 
-    before: float  # the list was told: the rig's own share
-    during: float
+    before: float  # before the list is sent: the share of the rig
+    during: float  # from then on
 
 
 class MeasurementResult(msgspec.Struct, frozen=True):
-    """What was measured, or in one line why nothing could be."""
+    """The measurements, or the error that prevented them, in one line."""
 
     idle: IdleMeasurement | None = None
     load: LoadMeasurement | None = None
@@ -92,19 +92,20 @@
 async def measure_idle(
     job: MeasurementJob, balancer: BalancerProcess, agent: DiscoveryAgent
 ) -> IdleMeasurement:
-    """Leave it alone for a while, then tell one change."""
-    await asyncio.sleep(SETTLE_SECONDS)
+    """Measure the balancer without requests, and then the exchange for one changed entry."""
+    await asyncio.sleep(SETTLE_S)
     cpu, log = balancer.cpu_seconds(), balancer.log_bytes()
     control_in, control_out = agent.bytes_out, agent.bytes_in
     await asyncio.sleep(job.idle_seconds)
     cpu, log = balancer.cpu_seconds() - cpu, balancer.log_bytes() - log
     control_in, control_out = agent.bytes_out - control_in, agent.bytes_in - control_out
     resident = balancer.resident_bytes()
-    before = agent.bytes_in + agent.bytes_out
+    bytes_before = agent.bytes_in + agent.bytes_out
     agent.publish_change(job.scale.servers // 2, "leaving")
-    await asyncio.sleep(CHANGE_SECONDS)
-    change_bytes = agent.bytes_in + agent.bytes_out - before
-    agent.publish_change(job.scale.servers // 2, "active")  # the load that may follow has all servers
+    await asyncio.sleep(CHANGE_EXCHANGE_S)
+    change_bytes = agent.bytes_in + agent.bytes_out - bytes_before
+    # The load measurement that may follow needs all servers.
+    agent.publish_change(job.scale.servers // 2, "active")
     return IdleMeasurement(
         cpu_share=cpu / job.idle_seconds,
         resident=resident,
@@ -115,7 +116,7 @@
     )
 
 
-def _added(client: OpenLoopClient) -> AddedLatency:
+def _added_latency(client: OpenLoopClient) -> AddedLatency:
     return AddedLatency(
         p50=client.added_latency.get_value_at_percentile(50) / 1e3,
         p99=client.added_latency.get_value_at_percentile(99) / 1e3,
@@ -125,12 +126,14 @@
 
 
 async def measure_load(job: MeasurementJob, balancer: BalancerProcess, server_port: int) -> LoadMeasurement:
-    """Two like streams at once: one through the balancer, one straight to some of the servers."""
-    direct_targets = [(server_host(n), server_port) for n in range(min(DIRECT_SERVERS, job.scale.servers))]
+    """Measure two similar streams at once: one through the balancer, one directly to some of the servers."""
+    direct_targets = [
+        (server_host(n), server_port) for n in range(min(MAX_DIRECT_SERVERS, job.scale.servers))
+    ]
     balanced = OpenLoopClient([balancer.address], job.scale, job.seed)
     direct = OpenLoopClient(direct_targets, job.scale, job.seed + 1)
     streams = (balanced, direct)
-    await asyncio.gather(*(stream.run(WARM_SECONDS) for stream in streams))
+    await asyncio.gather(*(stream.run(WARM_UP_S) for stream in streams))
     await asyncio.gather(*(stream.wait_for_responses() for stream in streams))
     for stream in streams:
         stream.reset()
@@ -144,13 +147,13 @@
         cpu_share=cpu / job.load_seconds,
         resident=balancer.resident_bytes(),
         log_per_s=log / job.load_seconds,
-        balanced=_added(balanced),
-        direct=_added(direct),
+        balanced=_added_latency(balanced),
+        direct=_added_latency(direct),
     )
 
 
-async def measure_steady(job: MeasurementJob) -> MeasurementResult:
-    """Start a balancer that is told its list, and measure it idle and under load."""
+async def measure_idle_and_load(job: MeasurementJob) -> MeasurementResult:
+    """Start a balancer in push mode, and measure it idle and under load."""
     server_port = await start_photo_servers(job.scale.servers)
     agent = DiscoveryAgent(job.scale.servers, server_port)
     agent_port = await start_discovery_agent(agent)
@@ -163,11 +166,11 @@
 
 
 async def measure_first_list(job: MeasurementJob) -> MeasurementResult:
-    """Ping a balancer that has no list yet, tell it the list, and ping on.
+    """Probe a balancer that has no list yet, send it the list, and continue to probe.
 
-    Lists are asked for here: where they are pushed, a balancer listens only once it has one.
+    The balancer runs in ask mode, because in push mode it listens only once it has a list.
     """
-    server_port = await start_photo_servers(1)  # nothing is sent to them
+    server_port = await start_photo_servers(1)  # it receives no requests
     agent = DiscoveryAgent(job.scale.servers, server_port)
     agent.withholds_responses = True
     agent_port = await start_discovery_agent(agent)
@@ -177,10 +180,10 @@
         async with asyncio.timeout(READY_TIMEOUT_S):
             while not (await probe.probe() and agent.pending_polls):
                 await asyncio.sleep(0.005)
-        before = await probe.probe_for(PINGS_BEFORE)
+        before = await probe.probe_for(PROBE_BEFORE_LIST_S)
         agent.release_responses()
-        during = await probe.probe_for(PINGS_AFTER)
-        while await probe.probe() != 200:  # the list is taken over in the end
+        during = await probe.probe_for(PROBE_AFTER_LIST_S)
+        while await probe.probe() != 200:  # the balancer must apply the list in the end
             await asyncio.sleep(0.005)
         return MeasurementResult(
             first_list=FirstListMeasurement(before * 1e3, max(during, probe.max_wait_s) * 1e3)
@@ -188,31 +191,32 @@
 
 
 async def run_job(job: MeasurementJob) -> MeasurementResult:
-    """Measure until done, or until standard input ends."""
+    """Run the measurement; it is cancelled when standard input ends."""
     loop = asyncio.get_running_loop()
-    work = asyncio.ensure_future(measure_first_list(job) if job.first_list else measure_steady(job))
+    measurement = asyncio.ensure_future(
+        measure_first_list(job) if job.first_list else measure_idle_and_load(job)
+    )
 
-    def input_ended() -> None:
-        loop.remove_reader(
-            sys.stdin.fileno()
-        )  # cancelled once: the balancer's stop must not be cancelled too
-        work.cancel()
+    def on_input_end() -> None:
+        # Cancels only once: a second cancellation would interrupt stopping the balancer.
+        loop.remove_reader(sys.stdin.fileno())
+        measurement.cancel()
 
-    loop.add_reader(sys.stdin.fileno(), input_ended)
-    return await work
+    loop.add_reader(sys.stdin.fileno(), on_input_end)
+    return await measurement
 
 
 async def job_result(job: MeasurementJob) -> MeasurementResult:
-    """The job's result, where it fails with the reason in one line."""
+    """Return the result of the job; if the job fails, a result with the error."""
     try:
-        async with asyncio.timeout(JOB_SECONDS):
+        async with asyncio.timeout(JOB_TIMEOUT_S):
             return await run_job(job)
     except (RigError, OSError, TimeoutError, psutil.Error) as error:
-        return MeasurementResult(error=str(error) or "the balancer did not answer in time")
+        return MeasurementResult(error=str(error) or "the balancer did not respond in time")
 
 
 def main() -> int:
-    """One job, one result; exit code 3 if standard input ended first."""
+    """Run one job and print its result; returns exit code 3 if standard input ends first."""
     job: MeasurementJob = msgspec.json.decode(sys.stdin.buffer.readline(), type=MeasurementJob)
     with suppress(asyncio.CancelledError):
         result = uvloop.run(job_result(job))
--- a/emulator/slopes/run.py
+++ b/emulator/slopes/run.py
@@ -1,4 +1,4 @@
-"""One run: which roles are measured at which points, and the rows that come of it."""
+"""A measurement run: the tasks of a plan, the measured figures and the rows computed from them."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class MeasurementPlan(msgspec.Struct, frozen=True):
-    """What the user asked for; no axis means all of a role's own."""
+    """What the user has selected; without axes, the axes of each role are measured."""
 
     roles: tuple[str, ...]
     axes: tuple[Axis, ...]
@@ -33,14 +33,14 @@
 
 
 class MeasurementTask(msgspec.Struct, frozen=True):
-    """One role at one scale."""
+    """The measurement of one role at one scale."""
 
     role: str
     scale: Scale
 
 
 class MeasurementRun:
-    """Measures each role at each scale once, and keeps the figures."""
+    """Measures each role at each scale once, and collects the figures."""
 
     def __init__(self, plan: MeasurementPlan) -> None:
         self.plan = plan
@@ -52,28 +52,32 @@
         self.figures: dict[MeasurementTask, list[Figure]] = {}
         self.failures: list[str] = []
 
-    def _lines(self) -> Iterator[tuple[Role, Axis, tuple[Point, ...]]]:
+    def _measured_axes(self) -> Iterator[tuple[Role, Axis, tuple[Point, ...]]]:
         for name in self.plan.roles:
             role = ROLES[name]
-            own = role.quick_axes if self.plan.quick and not self.plan.axes else role.axes
-            for axis in own:
+            role_axes = role.quick_axes if self.plan.quick and not self.plan.axes else role.axes
+            for axis in role_axes:
                 if not self.plan.axes or axis in self.plan.axes:
                     yield role, axis, axis_points(axis, self.plan.quick)
 
-    def _bars(self) -> list[Bar]:
+    def _selected_bars(self) -> list[Bar]:
         return [bar for bar in BARS if self.plan.bars and bar.role in self.plan.roles]
 
     def tasks(self) -> list[MeasurementTask]:
-        """All that is to be measured, each once, role by role."""
-        wanted = [MeasurementTask(role.name, p.scale) for role, _, points in self._lines() for p in points]
-        wanted += [
-            MeasurementTask(bar.role, scale) for bar in self._bars() for scale in bar.required_scales()
+        """Return all tasks without duplicates, ordered by role."""
+        tasks = [
+            MeasurementTask(role.name, p.scale) for role, _, points in self._measured_axes() for p in points
         ]
-        unique = list(dict.fromkeys(wanted))
+        tasks += [
+            MeasurementTask(bar.role, scale)
+            for bar in self._selected_bars()
+            for scale in bar.required_scales()
+        ]
+        unique = list(dict.fromkeys(tasks))
         return sorted(unique, key=lambda task: self.plan.roles.index(task.role))
 
     def measure(self, task: MeasurementTask) -> None:
-        """Measure and keep; a failure is kept too."""
+        """Run a task, and record its figures or its failure."""
         try:
             figures = ROLES[task.role].measure(task.scale, self.budget, self.plan.seed)
         except MeasurementError as error:
@@ -90,13 +94,13 @@
         if not measured:
             return
         sizes = [float(p.size) for p in measured]
-        columns = [self.figures[MeasurementTask(role.name, p.scale)] for p in measured]
-        for along in zip(*columns, strict=True):
-            values = [figure.value for figure in along]
+        figures_by_size = [self.figures[MeasurementTask(role.name, p.scale)] for p in measured]
+        for figures in zip(*figures_by_size, strict=True):
+            values = [figure.value for figure in figures]
             yield Row(
                 role=role.name,
-                measure=along[0].measure,
-                unit=along[0].unit,
+                measure=figures[0].measure,
+                unit=figures[0].unit,
                 axis=axis.value,
                 sizes=sizes,
                 values=values,
@@ -105,7 +109,7 @@
             )
 
     def rows(self) -> list[Row]:
-        """All rows that the figures so far give, those of the bars at the end."""
-        rows = [row for line in self._lines() for row in self._axis_rows(*line)]
-        judged = (evaluate_bar(bar, self._lookup) for bar in self._bars())
-        return rows + [row for row in judged if row is not None]
+        """Return the rows of all figures measured so far, with the rows of the bars last."""
+        rows = [row for measured_axis in self._measured_axes() for row in self._axis_rows(*measured_axis)]
+        bar_rows = (evaluate_bar(bar, self._lookup) for bar in self._selected_bars())
+        return rows + [row for row in bar_rows if row is not None]
