--- a/emulator/fleet/hollow_discovery.py
+++ b/emulator/fleet/hollow_discovery.py
@@ -28,7 +28,7 @@
 
 
 def server_number_of(host: str) -> int:
-    """Number of the stand-in photo server at a loopback address; the inverse of `contract.loopback`."""
+    """Number of the photo server at a loopback address; the inverse of `contract.loopback_address`."""
     _, _, high, low = host.split(".")
     return int(high) * ADDRESSES_PER_OCTET + int(low) - 1
 
--- a/emulator/fleet/hollow_worker.py
+++ b/emulator/fleet/hollow_worker.py
@@ -186,7 +186,7 @@
     # ---- measures ----
 
     def measure(self, at_s: float) -> None:
-        """Print what happened since the last call."""
+        """Print the measure since the last call."""
         running = [host.balancer for host in self._hosts if host.balancer is not None]
         for balancer in running:
             self.meter.balancer_counts.add(balancer.take_counts())
--- a/emulator/fleet/scenario.py
+++ b/emulator/fleet/scenario.py
@@ -58,9 +58,8 @@
     name: Name
     share: Share
     cores: AtLeastOne
-    speed: Annotated[
-        tuple[Positive, ...], Field(min_length=2, max_length=2)
-    ]  # range of the speed of a core: minimum and maximum
+    # Minimum and maximum of the speed of a core.
+    speed: Annotated[tuple[Positive, ...], Field(min_length=2, max_length=2)]
 
 
 class Servers(ScenarioModel):
@@ -122,7 +121,7 @@
     """How clients behave."""
 
     retries: Count
-    try_share: Annotated[float, Field(gt=0, le=1)]  # of the deadline: timeout of one try
+    try_share: Annotated[float, Field(gt=0, le=1)]  # timeout of one try, as a share of the deadline
     backoff_ms: NonNegative
     honour_retry_after: Share  # share of the clients that respect Retry-After
     leaving_share: Share = 0.0  # share of the requests whose client disconnects before the answer
