--- a/emulator/slopes/balancer_process.py
+++ b/emulator/slopes/balancer_process.py
@@ -82,7 +82,7 @@
     async def stop(self) -> None:
         """Kill the process.
 
-        All is measured by now, and a graceful shutdown would add more than a second for each start.
+        All measurements are complete, and a graceful shutdown would add more than a second for each start.
         """
         if self.process.returncode is None:
             self.process.kill()
--- a/emulator/slopes/client.py
+++ b/emulator/slopes/client.py
@@ -124,14 +124,14 @@
         self.scale = scale
         self.random = Random(seed)
         self.idle_connections: dict[Address, list[ClientConnection]] = {target: [] for target in targets}
-        self.added_latency = HdrHistogram(1, MAX_RECORDED_US, SIGNIFICANT_DIGITS)
+        self.added_latency_us = HdrHistogram(1, MAX_RECORDED_US, SIGNIFICANT_DIGITS)
         self.status_counts: Counter[int] = Counter()
         self.tasks: set[asyncio.Task[None]] = set()
         self.request_count = 0
 
     def reset(self) -> None:
         """Discard the records, for example after a warm-up."""
-        self.added_latency.reset()
+        self.added_latency_us.reset()
         self.status_counts.clear()
         self.request_count = 0
 
@@ -170,7 +170,7 @@
             request_id, self.random.randrange(self.scale.services), self.random.randrange(self.scale.tenants)
         )
         self.request_count += 1
-        sent_at = time.monotonic_ns()
+        sent_at_ns = time.monotonic_ns()
         idle = self.idle_connections[target]
         connection = idle.pop() if idle else None
         if connection is None or not connection.is_usable():
@@ -181,7 +181,7 @@
                 return
         finished: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         connection.send_request(
-            message, lambda status, body: self._on_response(sent_at, finished, status, body)
+            message, lambda status, body: self._on_response(sent_at_ns, finished, status, body)
         )
         await finished
         if connection.is_usable():
@@ -191,12 +191,12 @@
         """Record a request; one that is not served counts with the whole request timeout."""
         self.status_counts[status] += 1
         added_us = added_ns // 1_000 if status == 200 else REQUEST_TIMEOUT_MS * 1_000
-        self.added_latency.record_value(max(1, added_us))
+        self.added_latency_us.record_value(max(1, added_us))
 
-    def _on_response(self, sent_at: int, finished: asyncio.Future[None], status: int, body: bytes) -> None:
+    def _on_response(self, sent_at_ns: int, finished: asyncio.Future[None], status: int, body: bytes) -> None:
         if finished.cancelled():  # already recorded as NO_RESPONSE
             return
-        self._record(status, time.monotonic_ns() - sent_at - int(body) if status == 200 else 0)
+        self._record(status, time.monotonic_ns() - sent_at_ns - int(body) if status == 200 else 0)
         finished.set_result(None)
 
 
--- a/emulator/slopes/module_host.py
+++ b/emulator/slopes/module_host.py
@@ -96,9 +96,9 @@
         while self.timers and self.timers[0][0] <= time_ns:
             fire_at, token = heapq.heappop(self.timers)
             self.now_ns = max(self.now_ns, fire_at)
-            call_started_at = time.thread_time_ns()
+            call_started_at_ns = time.thread_time_ns()
             actions = self.balancer.on_timer(self.now_ns, token)
-            self.max_timer_call_ns = max(self.max_timer_call_ns, time.thread_time_ns() - call_started_at)
+            self.max_timer_call_ns = max(self.max_timer_call_ns, time.thread_time_ns() - call_started_at_ns)
             self._process_actions(actions)
         self.now_ns = time_ns
 
--- a/emulator/slopes/rig.py
+++ b/emulator/slopes/rig.py
@@ -118,8 +118,8 @@
 
 def _added_latency(client: OpenLoopClient) -> AddedLatency:
     return AddedLatency(
-        p50=client.added_latency.get_value_at_percentile(50) / 1e3,
-        p99=client.added_latency.get_value_at_percentile(99) / 1e3,
+        p50=client.added_latency_us.get_value_at_percentile(50) / 1e3,
+        p99=client.added_latency_us.get_value_at_percentile(99) / 1e3,
         sent=client.request_count,
         served=client.status_counts[200],
     )
--- a/emulator/slopes/sizes.py
+++ b/emulator/slopes/sizes.py
@@ -28,7 +28,7 @@
         """Return the sizes as one line of text."""
         return (
             f"{self.servers:,} servers, {self.tenants:,} tenants, {self.services} services, "
-            f"{self.balancers} balancers, {self.changes} changes a day, {self.requests} requests a second"
+            f"{self.balancers} balancers, {self.changes} changes per day, {self.requests} requests per second"
         )
 
 
--- a/emulator/slopes/standins.py
+++ b/emulator/slopes/standins.py
@@ -71,8 +71,8 @@
         loop = asyncio.get_running_loop()
         loop.call_later(SERVICE_TIME_S, self._respond, time.monotonic_ns())
 
-    def _respond(self, received_at: int) -> None:
-        self.write(http_response(b"%d" % (time.monotonic_ns() - received_at)))
+    def _respond(self, received_at_ns: int) -> None:
+        self.write(http_response(b"%d" % (time.monotonic_ns() - received_at_ns)))
 
 
 async def start_photo_servers(servers: int) -> int:
--- a/emulator/slopes/timing.py
+++ b/emulator/slopes/timing.py
@@ -26,9 +26,9 @@
     try:
         while len(times) < MIN_RUNS or (len(times) < MAX_RUNS and time.thread_time() < end):
             subject = setup()
-            started_at = time.thread_time_ns()
+            started_at_ns = time.thread_time_ns()
             work(subject)
-            times.append(time.thread_time_ns() - started_at)
+            times.append(time.thread_time_ns() - started_at_ns)
     finally:
         if was_gc_enabled:
             gc.enable()
--- a/tests/emulator/test_slopes_standins.py
+++ b/tests/emulator/test_slopes_standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins of the slopes command, and its rig around a real balancer of a tiny deployment."""
+"""The stand-ins and clients of the command `slopes`, and its rig with a balancer of a tiny deployment."""
 
 from __future__ import annotations
 
@@ -22,88 +22,89 @@
 from emulator.slopes.standins import LOCALHOST, DiscoveryAgent, start_discovery_agent, start_photo_servers
 
 TINY = msgspec.structs.replace(BASE, servers=20, tenants=5, services=3, balancers=2)
-PATIENCE = 10.0
+TEST_TIMEOUT_S = 10.0
 
 
-def play(main: Coroutine[Any, Any, None]) -> None:
+def run_async(main: Coroutine[Any, Any, None]) -> None:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(asyncio.wait_for(main, PATIENCE))
+        runner.run(asyncio.wait_for(main, TEST_TIMEOUT_S))
 
 
-async def ask(connection: ClientConnection, path: str) -> dict[str, Any]:
-    done: asyncio.Future[dict[str, Any]] = asyncio.get_running_loop().create_future()
+async def fetch(connection: ClientConnection, path: str) -> dict[str, Any]:
+    """Return the JSON of the response, with its status added as `status`."""
+    response: asyncio.Future[dict[str, Any]] = asyncio.get_running_loop().create_future()
     message = f"GET {path} HTTP/1.1\r\nHost: agent\r\n\r\n".encode()
     connection.send_request(
-        message, lambda status, body: done.set_result({"status": status, **json.loads(body)})
+        message, lambda status, body: response.set_result({"status": status, **json.loads(body)})
     )
-    return await done
+    return await response
 
 
-def test_the_agent_tells_the_list_then_holds_then_tells_a_change() -> None:
+def test_the_agent_sends_the_list_and_answers_long_polls_with_changes() -> None:
     async def main() -> None:
         agent = DiscoveryAgent(servers=3, server_port=8081)
         connection = await open_connection((LOCALHOST, await start_discovery_agent(agent)))
-        whole = await ask(connection, "/v1/endpoints")
-        assert (whole["generation"], whole["reset"], len(whole["instances"])) == (1, True, 3)
-        assert whole["instances"][2]["hostPort"] == f"{server_host(2)}:8081"
-        nothing = await ask(connection, "/v1/endpoints?from=1&hold_ms=20")
-        assert (nothing["generation"], nothing["reset"], nothing["instances"]) == (1, False, [])
-        held = asyncio.create_task(ask(connection, "/v1/endpoints?from=1&hold_ms=5000"))
+        full_list = await fetch(connection, "/v1/endpoints")
+        assert (full_list["generation"], full_list["reset"], len(full_list["instances"])) == (1, True, 3)
+        assert full_list["instances"][2]["hostPort"] == f"{server_host(2)}:8081"
+        empty_delta = await fetch(connection, "/v1/endpoints?from=1&hold_ms=20")
+        assert (empty_delta["generation"], empty_delta["reset"], empty_delta["instances"]) == (1, False, [])
+        long_poll = asyncio.create_task(fetch(connection, "/v1/endpoints?from=1&hold_ms=5000"))
         while not agent.pending_polls:
             await asyncio.sleep(0.001)
         agent.publish_change(1, "leaving")
-        change = await held
-        assert (change["generation"], change["reset"]) == (2, False)
-        assert [one["lifecycle"] for one in change["instances"]] == ["leaving"]
-        late = await ask(connection, "/v1/endpoints?from=1&hold_ms=0")
-        assert late["instances"] == change["instances"]
+        delta = await long_poll
+        assert (delta["generation"], delta["reset"]) == (2, False)
+        assert [instance["lifecycle"] for instance in delta["instances"]] == ["leaving"]
+        immediate_delta = await fetch(connection, "/v1/endpoints?from=1&hold_ms=0")
+        assert immediate_delta["instances"] == delta["instances"]
         assert agent.bytes_out > agent.bytes_in > 0
 
-    play(main())
+    run_async(main())
 
 
-def test_a_silent_agent_answers_once_it_is_released() -> None:
+def test_an_agent_that_withholds_responses_sends_them_on_release() -> None:
     async def main() -> None:
         agent = DiscoveryAgent(servers=1, server_port=8081)
         agent.withholds_responses = True
         connection = await open_connection((LOCALHOST, await start_discovery_agent(agent)))
-        first = asyncio.create_task(ask(connection, "/v1/endpoints"))
+        first_call = asyncio.create_task(fetch(connection, "/v1/endpoints"))
         await asyncio.sleep(0.05)
-        assert not first.done()
+        assert not first_call.done()
         agent.release_responses()
-        assert (await first)["reset"] is True
+        assert (await first_call)["reset"] is True
 
-    play(main())
+    run_async(main())
 
 
-def test_the_open_loop_client_records_what_is_added_to_the_service_time() -> None:
+def test_the_open_loop_client_records_the_latency_added_to_the_service_time() -> None:
     async def main() -> None:
         port = await start_photo_servers(2)
         client = OpenLoopClient([(server_host(0), port), (server_host(1), port)], TINY, seed=3)
         await client.run(0.5)
         await client.wait_for_responses()
         assert client.status_counts == {200: client.request_count} and client.request_count > 10
-        assert client.added_latency.get_total_count() == client.request_count
-        assert (
-            client.added_latency.get_value_at_percentile(50) < 20_000
-        )  # the service time itself is not in it
+        assert client.added_latency_us.get_total_count() == client.request_count
+        assert client.added_latency_us.get_value_at_percentile(50) < 20_000  # without the service time
         client.close()
 
-    play(main())
+    run_async(main())
 
 
-def test_a_client_counts_a_connection_that_nothing_answers() -> None:
+def test_requests_with_failed_connections_count_with_the_whole_timeout() -> None:
+    """Left out of the latencies, requests that fail would make a broken balancer look fast."""
+
     async def main() -> None:
         client = OpenLoopClient([(LOCALHOST, 1)], TINY, seed=3)
         await client.run(0.1)
         await client.wait_for_responses()
         assert client.status_counts == {NO_RESPONSE: client.request_count}
-        assert client.added_latency.get_value_at_percentile(1) >= REQUEST_TIMEOUT_MS * 1_000
+        assert client.added_latency_us.get_value_at_percentile(1) >= REQUEST_TIMEOUT_MS * 1_000
 
-    play(main())
+    run_async(main())
 
 
-def test_the_parser_of_the_stand_ins_drops_what_is_no_http() -> None:
+def test_stand_ins_close_connections_with_malformed_http() -> None:
     async def main() -> None:
         port = await start_photo_servers(1)
         reader, writer = await asyncio.open_connection(server_host(0), port)
@@ -111,23 +112,25 @@
         assert await reader.read() == b""
         writer.close()
 
-    play(main())
+    run_async(main())
 
 
-def test_a_job_that_fails_gives_its_reason_in_one_line(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failed_job_gives_a_result_with_the_error(monkeypatch: pytest.MonkeyPatch) -> None:
     async def fail(_: MeasurementJob) -> MeasurementResult:
-        raise RigError("the balancer ended")
+        raise RigError("the balancer exited")
 
     async def main() -> None:
-        assert await job_result(MeasurementJob(TINY, seed=1)) == MeasurementResult(error="the balancer ended")
+        assert await job_result(MeasurementJob(TINY, seed=1)) == MeasurementResult(
+            error="the balancer exited"
+        )
 
     monkeypatch.setattr(rig, "run_job", fail)
-    play(main())
+    run_async(main())
 
 
-def test_the_rig_measures_a_first_list_and_leaves_no_process() -> None:
-    before = set(psutil.Process().children(recursive=True))
+def test_the_rig_measures_a_first_list_and_leaves_no_process_behind() -> None:
+    processes_before = set(psutil.Process().children(recursive=True))
     result = run_rig(MeasurementJob(TINY, seed=1, first_list=True))
     assert result.first_list is not None and result.idle is None and result.load is None
     assert result.first_list.before > 0 and result.first_list.during > 0
-    assert set(psutil.Process().children(recursive=True)) <= before
+    assert set(psutil.Process().children(recursive=True)) <= processes_before
