--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,4 +1,7 @@
-"""The four rules as properties over arbitrary legal event sequences."""
+"""Property-based tests: the rules of the decision module hold for any sequence of possible events.
+
+The harness checks each action, and that each request has its final answer in time.
+"""
 
 from __future__ import annotations
 
@@ -14,8 +17,12 @@
 STATES = st.sampled_from(list(ServerState))
 
 
+# Hypothesis orders the rules by their number of arguments and their names, and derives the seed from the
+# source of the class. Any change of that source except comments changes the tested sequences of events.
 class RandomHistories(RuleBasedStateMachine):
-    changes: dict[str, object] = {}
+    """Random events for one balancer to which server lists are pushed."""
+
+    changes: dict[str, object] = {}  # of the settings
 
     def __init__(self) -> None:
         super().__init__()
@@ -33,34 +40,34 @@
     @precondition(lambda self: self.harness.attempts_in_flight())
     @rule(pick=st.integers(0, 1000), outcome=OUTCOMES, report=REPORTS)
     def end(self, pick: int, outcome: Outcome, report: LoadReport | None) -> None:
-        out = self.harness.attempts_in_flight()
-        request_id, n = out[pick % len(out)]
-        self.harness.end_attempt(request_id, n, outcome, report)
+        in_flight = self.harness.attempts_in_flight()
+        request_id, attempt_index = in_flight[pick % len(in_flight)]
+        self.harness.end_attempt(request_id, attempt_index, outcome, report)
 
     @precondition(lambda self: self.harness.requests)
     @rule(pick=st.integers(0, 1000))
     def client_leaves(self, pick: int) -> None:
-        ids = list(self.harness.requests)
-        self.harness.disconnect_client(ids[pick % len(ids)])
-
-    @rule(span=st.sampled_from([0, 1 * MS, 20 * MS, 90 * MS, 400 * MS, 2 * S]))
-    def time_passes(self, span: int) -> None:
-        self.harness.advance(span)
-
-    @rule(n=st.integers(0, 7), state=STATES, fresh=st.booleans())
-    def delta(self, n: int, state: ServerState, fresh: bool) -> None:
-        old = self.harness.listed_entries.get(n)
-        started = self.harness.now - 100 * MS if fresh else old.started_at if old else 0
-        self.harness.update_server_list(ListKind.DELTA, server_entry(n, state, started))
-
-    @rule(present=st.sets(st.integers(0, 7)), state=STATES)
-    def snapshot(self, present: set[int], state: ServerState) -> None:
-        keep = dict(self.harness.listed_entries)
-        rows = [
-            server_entry(n, state if n == 3 else ServerState.READY, keep[n].started_at if n in keep else 0)
-            for n in sorted(present)
+        request_ids = list(self.harness.requests)
+        self.harness.disconnect_client(request_ids[pick % len(request_ids)])
+
+    @rule(duration=st.sampled_from([0, 1 * MS, 20 * MS, 90 * MS, 400 * MS, 2 * S]))
+    def time_passes(self, duration: int) -> None:
+        self.harness.advance(duration)
+
+    @rule(server_id=st.integers(0, 7), state=STATES, restarts=st.booleans())
+    def delta(self, server_id: int, state: ServerState, restarts: bool) -> None:
+        old = self.harness.listed_entries.get(server_id)
+        started_at = self.harness.now - 100 * MS if restarts else old.started_at if old else 0
+        self.harness.update_server_list(ListKind.DELTA, server_entry(server_id, state, started_at))
+
+    @rule(server_ids=st.sets(st.integers(0, 7)), state=STATES)
+    def snapshot(self, server_ids: set[int], state: ServerState) -> None:
+        old = dict(self.harness.listed_entries)
+        entries = [
+            server_entry(n, state if n == 3 else ServerState.READY, old[n].started_at if n in old else 0)
+            for n in sorted(server_ids)
         ]
-        self.harness.update_server_list(ListKind.FULL, *rows)
+        self.harness.update_server_list(ListKind.FULL, *entries)
 
     @rule()
     def discovery_fails(self) -> None:
@@ -79,10 +86,12 @@
 
 
 class RandomHistoriesInAskMode(RandomHistories):
+    """The balancer has to watch discovery, and may have only one attempt of a request in flight."""
+
     changes = {"watch_discovery": True, "copies_allowed": False, "min_call_interval": 2 * MS}
 
 
-LIMITS = settings(
+RUN_SETTINGS = settings(
     derandomize=True,
     database=None,
     max_examples=150,
@@ -91,6 +100,6 @@
     suppress_health_check=list(HealthCheck),
 )
 TestRandomHistories = RandomHistories.TestCase
-TestRandomHistories.settings = LIMITS
+TestRandomHistories.settings = RUN_SETTINGS
 TestRandomHistoriesInAskMode = RandomHistoriesInAskMode.TestCase
-TestRandomHistoriesInAskMode.settings = LIMITS
+TestRandomHistoriesInAskMode.settings = RUN_SETTINGS
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's embedding example runs as it stands."""
+"""The README's example of embedding the decision module runs unchanged and prints what it promises."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 
-def test_the_embedding_example(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_embedding_example_of_the_readme_runs(capsys: pytest.CaptureFixture[str]) -> None:
     text = (Path(__file__).resolve().parent.parent / "README.md").read_text()
     code = re.search(r"```python\n(.*?)```", text, re.S)
     assert code is not None
