--- a/dykeshift/rules.py
+++ b/dykeshift/rules.py
@@ -1230,15 +1230,11 @@
         self.relative_worth[: len(worths)] = [min(1.0, (v + fairness) / max(per_work)) for v in per_work]
 
     def _log_state(self, now: int) -> None:
-        """Log the state that decides which requests are admitted, wait and are sent.
-
-        Some names in the log differ from those in the code: `crowd` is the overload level, `room` the
-        in-flight limit, `pace` the mean latency share, and `resting` counts servers in back-off.
-        """
+        """Log the state that decides which requests are admitted, wait and are sent."""
         self.actions.append(
             Log(
-                f"requests {self.request_count} admit {self.admission_share:.2f} "
-                f"crowd {self.overload_level:.2f} open {len(self.open_requests)} "
+                f"requests {self.request_count} admission {self.admission_share:.2f} "
+                f"overload {self.overload_level:.2f} open {len(self.open_requests)} "
                 f"failed watches {self.watch_failures} "
                 f"gave up {_format_counts(self.give_up_counts)}"
             )
@@ -1262,10 +1258,12 @@
         self.actions.append(
             Log(
                 f"servers {listed} ready {ready} draining {listed - ready} pool {len(self.pool)} "
-                f"known {len(known)} cold {cold} resting {backing_off} unreachable {unreachable} slow {slow} "
-                f"room {sum(s.in_flight_limit for s in known):.2f} out {sum(s.in_flight for s in known)} "
+                f"known {len(known)} cold {cold} backing off {backing_off} "
+                f"unreachable {unreachable} slow {slow} "
+                f"in-flight limit {sum(s.in_flight_limit for s in known):.2f} "
+                f"in flight {sum(s.in_flight for s in known)} "
                 f"failing {sum(s.failure_count > 0 for s in known)} "
-                f"ends {_format_counts(self.outcome_counts)}"
+                f"outcomes {_format_counts(self.outcome_counts)}"
             )
         )
         for s in sorted(known, key=lambda s: (-s.failure_count, -s.mean_latency_share, s.entry.id))[
@@ -1273,9 +1271,9 @@
         ]:
             self.actions.append(
                 Log(
-                    f"server {s.entry.id:x} zone {s.entry.zone} room {s.in_flight_limit:.2f} "
-                    f"out {s.in_flight} pace {s.mean_latency_share:.2f} "
-                    f"ends {_format_counts(s.outcome_counts)}"
+                    f"server {s.entry.id:x} zone {s.entry.zone} in-flight limit {s.in_flight_limit:.2f} "
+                    f"in flight {s.in_flight} latency/target {s.mean_latency_share:.2f} "
+                    f"outcomes {_format_counts(s.outcome_counts)}"
                 )
             )
         for s in known:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -308,4 +308,4 @@
     harness.advance(S)
     lines = [a.text for a in harness.actions if isinstance(a, Log)]
     assert any("gave up read/no-room:2" in line for line in lines)
-    assert any(line.startswith("server 1 ") and line.endswith("ends read/ERROR:1") for line in lines)
+    assert any(line.startswith("server 1 ") and line.endswith("outcomes read/ERROR:1") for line in lines)
