--- a/dykeshift/node/config.py
+++ b/dykeshift/node/config.py
@@ -11,7 +11,7 @@
 from dykeshift.node.address import Address, parse_address
 from dykeshift.node.json_cursor import JsonCursor
 from dykeshift.node.listing import ServerListing, ServerRow, parse_listing
-from dykeshift.node.passing_errors import is_transient
+from dykeshift.node.transient_errors import is_transient
 from dykeshift.node.tenants import TenantTable
 from dykeshift.settings import MalformedInputError, SettingsError, require, parse_settings
 
--- a/dykeshift/node/listener.py
+++ b/dykeshift/node/listener.py
@@ -17,7 +17,7 @@
 
 from dykeshift.node.address import Address
 from dykeshift.node.http1 import has_input
-from dykeshift.node.passing_errors import START_RETRY_INTERVAL_S, START_RETRY_TIMEOUT_S, is_transient
+from dykeshift.node.transient_errors import START_RETRY_INTERVAL_S, START_RETRY_TIMEOUT_S, is_transient
 
 log = logging.getLogger(__name__)
 
--- a/dykeshift/node/listing.py
+++ b/dykeshift/node/listing.py
@@ -16,7 +16,7 @@
 from dykeshift.interface import ServerEntry, ServerState
 from dykeshift.node.address import parse_address
 from dykeshift.node.json_cursor import JsonCursor
-from dykeshift.node.start_clock import StartTimeConverter
+from dykeshift.node.start_times import StartTimeConverter
 
 ROWS_PER_STEP = 100  # one to two milliseconds of work, after which other tasks may run
 _STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
--- a/dykeshift/node/server.py
+++ b/dykeshift/node/server.py
@@ -16,7 +16,7 @@
     has_input,
     has_peer_closed,
 )
-from dykeshift.node.loop_watch import StallDetector
+from dykeshift.node.stall_detector import StallDetector
 from dykeshift.node.requests import BadRequest, RequestReader
 
 log = logging.getLogger(__name__)
--- a/dykeshift/node/startup.py
+++ b/dykeshift/node/startup.py
@@ -10,7 +10,7 @@
 import uvloop
 
 from dykeshift.node import config
-from dykeshift.node.passing_errors import START_RETRY_INTERVAL_S, START_RETRY_TIMEOUT_S, is_transient
+from dykeshift.node.transient_errors import START_RETRY_INTERVAL_S, START_RETRY_TIMEOUT_S, is_transient
 
 Result = TypeVar("Result")
 
