--- a/emulator/fleet/discovery.py
+++ b/emulator/fleet/discovery.py
@@ -32,7 +32,7 @@
         self.fleet = fleet
         self.clock = ScenarioClock(0)
         self.releases = DeadlineHeap()
-        self.hollow, self.real = PropagationSeries(), PropagationSeries()
+        self.hollow_propagation, self.real_propagation = PropagationSeries(), PropagationSeries()
         self.traffic, self.reported_traffic = TrafficCounts(), TrafficCounts()
         self.transfers = TransferQueue(self._call_later)
         self.agents = self._create_agents()
@@ -51,7 +51,7 @@
         agents = []
         for number in range(scenario.balancers.total):
             region = layout.balancer_region(number)
-            series = self.real if number < scenario.balancers.real else self.hollow
+            series = self.real_propagation if number < scenario.balancers.real else self.hollow_propagation
             agents.append(
                 DiscoveryAgent(
                     encoder=encoders[region],
@@ -117,8 +117,8 @@
                 silent_calls=now.silent_calls - before.silent_calls,
                 sent_bytes=now.sent_bytes - before.sent_bytes,
                 received_bytes=now.received_bytes - before.received_bytes,
-                hollow=self.hollow.take_second(),
-                real=self.real.take_second(),
+                hollow=self.hollow_propagation.take_second(),
+                real=self.real_propagation.take_second(),
             )
         )
         self.reported_traffic = TrafficCounts(
@@ -136,10 +136,10 @@
                 silent_calls=traffic.silent_calls,
                 sent_bytes=traffic.sent_bytes,
                 received_bytes=traffic.received_bytes,
-                hollow=self.hollow.total.summary(self.hollow.pending),
-                real=self.real.total.summary(self.real.pending),
-                hollow_histogram=self.hollow.total.histogram.encode().decode(),
-                real_histogram=self.real.total.histogram.encode().decode(),
+                hollow=self.hollow_propagation.total.summary(self.hollow_propagation.pending),
+                real=self.real_propagation.total.summary(self.real_propagation.pending),
+                hollow_histogram=self.hollow_propagation.total.histogram.encode().decode(),
+                real_histogram=self.real_propagation.total.histogram.encode().decode(),
             )
         )
         self.close()
--- a/emulator/fleet/hollow.py
+++ b/emulator/fleet/hollow.py
@@ -61,7 +61,7 @@
     deadline: int
     attempts: list[HollowAttempt | None] = field(default_factory=list)  # None: has ended
     attempts_in_flight: int = 0
-    closed: bool = False  # it has its final answer, or the client has disconnected
+    is_closed: bool = False  # it has its final answer, or the client has disconnected
 
 
 @dataclass(slots=True, eq=False)
@@ -93,7 +93,7 @@
         """Start a watch of discovery."""
 
     def on_final_answer(
-        self, now: int, client_try: ClientTry, outcome: TryOutcome, unloaded_us: int, retry_after: int
+        self, now: int, client_try: ClientTry, outcome: TryOutcome, unloaded_us: int, retry_after_ns: int
     ) -> None:
         """Give the client its final answer; `unloaded_us` as in `HollowBalancer.end_attempt`."""
 
@@ -125,7 +125,7 @@
     def __init__(self, settings: Settings, seed: int, effects: Effects) -> None:
         self.effects = effects
         self.counts = HollowCounts()
-        self.stopped = False
+        self.is_stopped = False
         self._decision_module = Balancer(settings, seed)
         self._open_tries: dict[str, OpenTry] = {}
         self._servers: dict[int, int] = {}  # decision module's id -> stand-in's number, of ready servers
@@ -150,8 +150,8 @@
 
     def stop(self, now: int) -> list[ClientTry]:
         """Stop at once, as after SIGKILL; returns the tries whose clients lose their connection."""
-        self.stopped = True
-        lost_tries = [open_try.client_try for open_try in self._open_tries.values() if not open_try.closed]
+        self.is_stopped = True
+        lost_tries = [open_try.client_try for open_try in self._open_tries.values() if not open_try.is_closed]
         for open_try in self._open_tries.values():
             for attempt in open_try.attempts:
                 if attempt is not None:
@@ -179,9 +179,9 @@
     def disconnect_client(self, now: int, name: str) -> bool:
         """End a try whose client has disconnected; False if it already had its final answer."""
         open_try = self._open_tries.get(name)
-        if open_try is None or open_try.closed:
+        if open_try is None or open_try.is_closed:
             return False
-        open_try.closed = True
+        open_try.is_closed = True
         self._call_module(now, self._decision_module.on_client_gone, name)
         self._remove_if_finished(open_try)
         return True
@@ -201,7 +201,7 @@
             ServerListUpdate(kind, tuple(listed_server.entry for listed_server in listed)),
         )
 
-    def discovery_failed(self, now: int, kind: ListKind) -> None:
+    def report_discovery_failure(self, now: int, kind: ListKind) -> None:
         """Report a failed call to discovery to the decision module."""
         self._call_module(now, self._decision_module.on_list, ServerListUpdate(kind))
 
@@ -219,12 +219,12 @@
         subtract it from the latency.
         """
         open_try = attempt.open_try
-        if self.stopped or open_try.attempts[attempt.index] is None:
+        if self.is_stopped or open_try.attempts[attempt.index] is None:
             return
         open_try.attempts[attempt.index] = None
         open_try.attempts_in_flight -= 1
-        if outcome is Outcome.OK and not open_try.closed:
-            open_try.closed = True
+        if outcome is Outcome.OK and not open_try.is_closed:
+            open_try.is_closed = True
             self.effects.on_final_answer(now, open_try.client_try, TryOutcome.SERVED, unloaded_us, 0)
         end = AttemptEnd(
             request_id=open_try.name,
@@ -232,7 +232,7 @@
             server_id=attempt.server_id,
             outcome=outcome,
             latency=now - attempt.sent_at,
-            request_closed=open_try.closed,
+            request_closed=open_try.is_closed,
             load_report=report,
         )
         self._call_module(now, self._decision_module.on_attempt_end, end)
@@ -241,7 +241,7 @@
     # ---- actions of the decision module ----
 
     def _call_module(self, now: int, method: Callable[..., list[Action]], *arguments: object) -> None:
-        if self.stopped:
+        if self.is_stopped:
             return
         self.counts.decision_calls += 1
         self._call_number += 1
@@ -284,7 +284,7 @@
         open_try.attempts.append(attempt)
         open_try.attempts_in_flight += 1
         is_too_late = 0 < action.start_before <= now
-        if server is None or open_try.closed or until <= now or is_too_late:
+        if server is None or open_try.is_closed or until <= now or is_too_late:
             self.counts.not_sent += 1
             self.effects.add_timer(now, partial(self._end_without_response, attempt, Outcome.NOT_SENT))
             return
@@ -309,30 +309,30 @@
         self.end_attempt(now, attempt, outcome)
 
     def _time_out(self, attempt: HollowAttempt, outcome: Outcome, now: int) -> None:
-        if not self.stopped and attempt.open_try.attempts[attempt.index] is not None:
+        if not self.is_stopped and attempt.open_try.attempts[attempt.index] is not None:
             self.effects.cancel(attempt)
             self.end_attempt(now, attempt, outcome)
 
     def _expire(self, open_try: OpenTry, now: int) -> None:
         """At the deadline, time out all attempts in flight and fail the try, whatever the module decides."""
-        if self.stopped:
+        if self.is_stopped:
             return
         for attempt in list(open_try.attempts):
             if attempt is not None:
                 self._time_out(attempt, Outcome.TIMEOUT, now)
-        if not open_try.closed:
-            open_try.closed = True
+        if not open_try.is_closed:
+            open_try.is_closed = True
             self.effects.on_final_answer(now, open_try.client_try, TryOutcome.FAILED, 0, 0)
             self._call_module(now, self._decision_module.on_client_gone, open_try.name)
         self._remove_if_finished(open_try)
 
-    def _answer(self, now: int, name: str, outcome: TryOutcome, retry_after: int) -> None:
+    def _answer(self, now: int, name: str, outcome: TryOutcome, retry_after_ns: int) -> None:
         open_try = self._open_tries.get(name)
-        if open_try is not None and not open_try.closed:
-            open_try.closed = True
-            self.effects.on_final_answer(now, open_try.client_try, outcome, 0, retry_after)
+        if open_try is not None and not open_try.is_closed:
+            open_try.is_closed = True
+            self.effects.on_final_answer(now, open_try.client_try, outcome, 0, retry_after_ns)
             self._remove_if_finished(open_try)
 
     def _remove_if_finished(self, open_try: OpenTry) -> None:
-        if open_try.closed and not open_try.attempts_in_flight:
+        if open_try.is_closed and not open_try.attempts_in_flight:
             self._open_tries.pop(open_try.name, None)
--- a/emulator/fleet/hollow_discovery.py
+++ b/emulator/fleet/hollow_discovery.py
@@ -37,7 +37,7 @@
 OnDiscoveryFailure = Callable[[int, ListKind], None]
 
 
-def _server_number_of(listed: ListedServer) -> int:
+def _listed_server_number(listed: ListedServer) -> int:
     host, _, _ = listed.address.rpartition(":")
     return server_number_of(host) if host else NO_SERVER_NUMBER
 
@@ -45,15 +45,15 @@
 class _StoppableWatch(DiscoveryWatch):
     """The real watch, except that it can be stopped: a stopped balancer must not watch again."""
 
-    stopped = False
+    is_stopped = False
 
     def start(self) -> None:
-        if not self.stopped:
+        if not self.is_stopped:
             super().start()
 
     def stop(self) -> None:
         """Cancel the current call and start no further one."""
-        self.stopped = True
+        self.is_stopped = True
         if self.watch_task is not None:
             self.watch_task.cancel()
 
@@ -96,11 +96,13 @@
         self._watch.stop()
 
     def _on_list(self, kind: ListKind, listed: list[ListedServer]) -> bool:
-        if not self._watch.stopped:
-            listed_servers = [ListedPhotoServer(server.entry, _server_number_of(server)) for server in listed]
+        if not self._watch.is_stopped:
+            listed_servers = [
+                ListedPhotoServer(server.entry, _listed_server_number(server)) for server in listed
+            ]
             self._on_server_list(time.monotonic_ns(), kind, listed_servers)
         return True
 
     def _on_failure(self, kind: ListKind) -> None:
-        if not self._watch.stopped:
+        if not self._watch.is_stopped:
             self._on_discovery_failure(time.monotonic_ns(), kind)
--- a/emulator/fleet/hollow_host.py
+++ b/emulator/fleet/hollow_host.py
@@ -85,7 +85,7 @@
             not self._settings.watch_discovery,
             self.shared.drain_grace_s,
             partial(self._on_server_list, balancer),
-            balancer.discovery_failed,
+            balancer.report_discovery_failure,
         )
         balancer.start(time.monotonic_ns())
         discovery.start()
@@ -190,7 +190,7 @@
             self._discovery.start()
 
     def on_final_answer(
-        self, now: int, client_try: ClientTry, outcome: TryOutcome, unloaded_us: int, retry_after: int
+        self, now: int, client_try: ClientTry, outcome: TryOutcome, unloaded_us: int, retry_after_ns: int
     ) -> None:
         """End the client's try, as NO_ANSWER if the client's timeout and the answer grace are over."""
         has_timed_out = now > client_try.sent_at + client_try.timeout_ns + self.shared.answer_grace_ns
@@ -198,4 +198,4 @@
             outcome = TryOutcome.NO_ANSWER
         elif outcome is TryOutcome.SERVED:
             self.shared.meter.record_served((now - client_try.sent_at) // 1000 - unloaded_us)
-        self._end_try(now, client_try, outcome, retry_after)
+        self._end_try(now, client_try, outcome, retry_after_ns)
--- a/emulator/fleet/timeline.py
+++ b/emulator/fleet/timeline.py
@@ -162,13 +162,13 @@
         # Failures of zones and racks are added first, so that later draws avoid the servers concerned.
         numbered.sort(key=lambda item: not isinstance(item[1], scripted.ZoneFailure | scripted.RackFailure))
         for number, event in numbered:
-            self._add_scripted(event, self._random(f"event {number}"))
-        self._add_machine_failures(self._random("machine failures"))
-        self._add_restarts(self._random("restarts"))
+            self._add_scripted(event, self._random_for(f"event {number}"))
+        self._add_machine_failures(self._random_for("machine failures"))
+        self._add_restarts(self._random_for("restarts"))
         within_run = [event for event in self.events if event.at_s <= self.scenario.duration_s]
         return tuple(sorted(within_run, key=lambda event: event.at_s))  # stable for equal times
 
-    def _random(self, label: str) -> Random:
+    def _random_for(self, label: str) -> Random:
         return Random(f"{self.seed}/{label}")
 
     # ---- scripted events ----
@@ -267,7 +267,7 @@
 
     # ---- random events ----
 
-    def _times(self, random: Random, per_day: float) -> Iterator[float]:
+    def _draw_event_times(self, random: Random, per_day: float) -> Iterator[float]:
         """Times of a Poisson process with a rate per real day, at the scenario's time compression."""
         rate = per_day * self.scenario.time_compression / SECONDS_PER_DAY
         at_s = random.expovariate(rate) if rate else self.scenario.duration_s
@@ -277,14 +277,14 @@
 
     def _add_machine_failures(self, random: Random) -> None:
         failures = self.scenario.random_failures
-        for at_s in self._times(random, failures.machine_failures_per_day):
+        for at_s in self._draw_event_times(random, failures.machine_failures_per_day):
             end_s = at_s + failures.repair_s
             servers = self._draw_servers(random, 1, None, at_s, end_s)
             self._add_outage(servers, at_s, end_s, replaced=True)
 
     def _add_restarts(self, random: Random) -> None:
         failures = self.scenario.random_failures
-        for at_s in self._times(random, failures.restarts_per_day):
+        for at_s in self._draw_event_times(random, failures.restarts_per_day):
             replaced = random.random() < failures.replaced_share
             end_s = at_s + failures.drain_s + failures.down_s
             servers = tuple(self._draw_servers(random, 1, None, at_s, end_s))
--- a/tests/emulator/fleet_fakes.py
+++ b/tests/emulator/fleet_fakes.py
@@ -168,7 +168,7 @@
         self.watch_count += 1
 
     def on_final_answer(
-        self, now: int, client_try: ClientTry, outcome: TryOutcome, unloaded_us: int, retry_after: int
+        self, now: int, client_try: ClientTry, outcome: TryOutcome, unloaded_us: int, retry_after_ns: int
     ) -> None:
         """Record the answer."""
         self.answers.append(Answer(now, client_try, outcome))
--- a/tests/emulator/test_standins.py
+++ b/tests/emulator/test_standins.py
@@ -280,14 +280,14 @@
             asyncio.get_running_loop(),
             (agent.host, agent.port),
             ListReader(context.layout.zone_names, kinds),
-            self.take,
+            self.record_list,
             self.failures.append,
             True,
             0.3,
         )
         self.discovery.start()
 
-    def take(self, kind: ListKind, listed: list[ListedServer]) -> bool:
+    def record_list(self, kind: ListKind, listed: list[ListedServer]) -> bool:
         if kind is ListKind.FULL or listed:
             self.lists.append((kind, listed))
         return True
@@ -298,7 +298,7 @@
         return self.lists[count - 1][1]
 
     async def wait_until_acknowledged(self, process: DiscoveryProcess, changes: int) -> None:
-        while process.hollow.total.acknowledged < changes:
+        while process.hollow_propagation.total.acknowledged < changes:
             await asyncio.sleep(0.002)
 
 
@@ -330,12 +330,12 @@
             assert replacement.entry.state is ServerState.READY and replacement.entry.id != left.entry.id
             assert abs(time.monotonic_ns() - replacement.entry.started_at - 2.0e9) < 0.3e9
             await listener.wait_until_acknowledged(process, 3)
-            summary = process.hollow.total.summary(process.hollow.pending)
+            summary = process.hollow_propagation.total.summary(process.hollow_propagation.pending)
             assert (summary.acknowledged, summary.pending) == (3, 0)
             # The 18 other hollow balancers have not called, so the changes released to them are superseded.
             assert summary.released == summary.superseded + 3 == 19 * 3
             assert summary.max_ms < 300  # an outage delays the release, not the acknowledgement
-            assert process.traffic.silent_calls > 0 and process.real.total.released == 2 * 3
+            assert process.traffic.silent_calls > 0 and process.real_propagation.total.released == 2 * 3
 
     run_with_uvloop(main())
 
@@ -357,10 +357,12 @@
             await listener.wait_for_list(1)
             while clock.now_s() < 0.45:
                 await asyncio.sleep(0.002)
-            assert len(listener.lists) == 1 and process.hollow.pending == 1
+            assert len(listener.lists) == 1 and process.hollow_propagation.pending == 1
             while clock.now_s() < 0.65:
                 await asyncio.sleep(0.002)
-            assert process.hollow.pending == 0 and process.hollow.total.superseded == 19
+            assert (
+                process.hollow_propagation.pending == 0 and process.hollow_propagation.total.superseded == 19
+            )
             second_listener = DiscoveryListener(process, 20)
             assert (await second_listener.wait_for_list(1))[5].entry.state is ServerState.DRAINING
 
@@ -368,14 +370,14 @@
 
 
 class StubReceiver:
-    """A receiver of large responses that counts them; the test closes it by `gone`."""
+    """A receiver of large responses that counts them; the test sets `is_disconnected`."""
 
     def __init__(self) -> None:
         self.written = 0
-        self.gone = False
+        self.is_disconnected = False
 
     def has_disconnected(self) -> bool:
-        return self.gone
+        return self.is_disconnected
 
     def write(self, body: bytes) -> None:
         self.written += 1
@@ -392,7 +394,7 @@
     transfers.send(small, b"{}")
     assert [receiver.written for receiver in receivers] == [1] * MAX_CONCURRENT_TRANSFERS + [0] * 3
     assert small.written
-    receivers[-1].gone = True
+    receivers[-1].is_disconnected = True
     transfers.finish(receivers[0])  # the newest receiver is gone, so the one before it gets the slot
     assert [receiver.written for receiver in receivers[-3:]] == [0, 1, 0]
     for callback in timers[:]:
