--- a/dykeshift/rules.py
+++ b/dykeshift/rules.py
@@ -1,9 +1,10 @@
 """All decisions of the balancer. Settings, events and actions are in interface.py.
 
 Redundant-to-Idle-Queue (RIQ): sample a few servers for each request. A request that is safe to repeat goes
-as copies to sampled servers that look idle. Any other goes once, to an idle server or, if there is none, to
-a random one of the sample. The first good answer cancels the other attempts. Every public method takes the
-time and returns the actions to carry out.
+as copies to several of them if enough look idle. Any other goes once, to an idle server or, if there is
+none, to a random one of the sample. The first good answer cancels the other attempts. Every public method
+of Balancer that reports an event takes the time and returns the actions to carry out. All times and
+durations are in nanoseconds unless a name or comment says otherwise.
 """
 
 from __future__ import annotations
@@ -48,7 +49,7 @@
 # Offset between the pools of two consecutive balancers, as a share of all ready servers. With the golden
 # ratio the pools of any few balancers are spread evenly.
 POOL_OFFSET_FLEET_SHARE = 0.618034
-# Requests per overload window for each server of the pool. With fewer, what is known about a server is
+# Requests per overload window for each server of the pool. With fewer, what is known about a server would be
 # outdated.
 MIN_WINDOW_REQUESTS_PER_SERVER = 10
 # Servers whose learned state is kept outside the pool. In a fleet of at most this size all servers are known.
@@ -56,7 +57,8 @@
 
 # ---- idle, busy and slow servers ----
 
-# If other balancers have more attempts at a server on average, it is not idle though this one has none there.
+# If other balancers have more attempts than this at a server on average, a server without attempts of this
+# balancer is probably not idle, and no second copy is sent at once.
 MAX_IDLE_ATTEMPTS_OF_OTHERS = 1.0
 # A server with a higher mean latency is not idle, even if the load comes from other balancers.
 MAX_IDLE_LATENCY_TARGET_SHARE = 0.45
@@ -67,15 +69,15 @@
 QUICK_ANSWER_TARGET_SHARE = 0.5  # an answer within this shows that the server can carry its present load
 # A slow attempt makes its server suspect and gets a delayed copy (section VIII of the RIQ paper).
 SLOW_ATTEMPT_LATENCY_MULTIPLE = 1.3
-# A class hangs at a server after this many consecutive failures there, or if nothing of it was answered
-# for the time of this many slow attempts.
+# A class hangs at a server after this many consecutive failures there, or if none of its attempts there was
+# answered for the time of this many slow attempts.
 HANG_THRESHOLD = 2
 
 # ---- latency estimates ----
 
 MEAN_SAMPLE_WEIGHT = 0.1  # of the newest sample in a running mean: about the last twenty samples count
 SERVER_MEAN_SAMPLE_WEIGHT = 0.2  # the same for the latency of one server, which follows its last few answers
-INITIAL_LATENCY_TARGET_SHARE = 0.25  # usual latency before any answer: twice this still leaves time to wait
+INITIAL_LATENCY_TARGET_SHARE = 0.25  # usual latency before any answer; twice this still leaves time to wait
 MIN_LATENCY_FALL_WEIGHT = 0.3  # the minimum latency falls by this share of the distance to a quicker answer
 MIN_LATENCY_RISE_SHARE = 0.005  # and rises by this share of itself at a slower one
 
@@ -98,7 +100,7 @@
 MIN_IN_FLIGHT_LIMIT = 0.05
 LIMIT_GROWTH_ATTEMPTS = 2.0  # growth summed over the balancers, since all of them grow at once
 LIMIT_CUT_FACTOR = 0.8  # on failures
-# Minimum growth of a limit below one for each quick answer, as a share of it: two or three undo a cut.
+# Minimum growth of a limit below one for each quick answer, as a share of the limit: two or three undo a cut.
 MIN_LIMIT_REGROWTH_SHARE = 0.1
 # A server whose mean number of attempts in flight stays below this share of its limit has not shown that it
 # carries more.
@@ -110,7 +112,7 @@
 
 # ---- admission and overload ----
 
-# The share of admitted requests rises as long as a third of the answers are quick.
+# With these steps the share of admitted requests rises as long as a third of the answers are quick.
 ADMISSION_INCREASE_SHARE = 0.1  # for each quick answer
 ADMISSION_DECREASE_SHARE = 0.05  # for each slow answer
 MIN_ADMISSION_SHARE = 0.1  # enough to notice that answers are quick again
@@ -154,7 +156,7 @@
 
 # ---- outcomes of attempts ----
 
-LATE_OUTCOMES = (Outcome.OK, Outcome.TIMEOUT, Outcome.CANCELLED)  # answered late or not at all
+LATE_OUTCOMES = (Outcome.OK, Outcome.TIMEOUT, Outcome.CANCELLED)  # late answer or none, unless quick
 NON_FAILURE_OUTCOMES = (Outcome.OK, Outcome.CANCELLED, Outcome.NOT_SENT)  # not a failure of the server
 ANSWER_OUTCOMES = (Outcome.OK, Outcome.ERROR, Outcome.FULL)  # answers of the server itself
 
@@ -192,7 +194,8 @@
     load_reported_at: int = 0
     abandoned_until: list[int] = field(default_factory=list)  # until when abandoned attempts count as running
     connect_failures: int = 0  # consecutive ones
-    outcome_counts: dict[str, int] = field(default_factory=dict)  # by class, since the last log report
+    # By class and outcome, since the last log report.
+    outcome_counts: dict[str, int] = field(default_factory=dict)
     failure_count: int = 0  # of these outcomes
 
 
@@ -379,8 +382,9 @@
         self.random = Random(seed).random
         self.fleet = Fleet(settings.classes)
         self.servers: dict[int, Server] = {}  # those listed servers about which this balancer keeps state
-        self.initial_limit = INITIAL_LIMIT_OF_ALL_BALANCERS  # mean in-flight limit of servers without state
-        self.known_ready: list[Server] = []  # the pool; in a fleet that is small enough, all ready servers
+        # Mean in-flight limit of the servers without state. Each of them begins with it.
+        self.initial_limit = INITIAL_LIMIT_OF_ALL_BALANCERS
+        self.known_ready: list[Server] = []  # the pool, and in a small fleet all other ready servers
         self.pool: list[Server] = []  # the ready servers to which this balancer sends requests
         # Requests since the start and until the last sweep, and the number of sweeps.
         self.request_count = self.request_count_at_sweep = self.sweep_count = 0
@@ -389,7 +393,7 @@
         # By class: running mean of the latency of good answers.
         self.usual_latency = [c.latency_target * INITIAL_LATENCY_TARGET_SHARE for c in settings.classes]
         self.min_latency = list(self.usual_latency)  # of quick servers with almost no queue
-        self.growth_latency_multiple = GROWTH_LATENCY_MULTIPLE
+        self.growth_latency_multiple = GROWTH_LATENCY_MULTIPLE  # adapted at each sweep
         self.admission_share = 1.0  # of the requests; falls while most answers of the whole pool are slow
         self.overload_level = 0.0  # rises while requests find no server; classes of lower worth have to wait
         self.relative_worth = [1.0] * len(settings.classes)  # worth per work, as a share of the highest one
@@ -400,7 +404,7 @@
         self.first_request_timeout = [0] * len(settings.classes)  # of the latest request that was no retry
         self.tenant_quotas = TenantQuotas(settings)
         self.give_up_counts: dict[str, int] = {}  # by class and reason, since the last log report
-        self.outcome_counts: dict[str, int] = {}  # at all servers, by class, since the last log report
+        self.outcome_counts: dict[str, int] = {}  # at all servers, by class and outcome, since then
         self.actions: list[Action] = []
         self.class_names = [c.name for c in settings.classes]  # by class index; removed classes at the end
 
@@ -579,7 +583,7 @@
         )
 
     def _pick_ready_ids(self, now: int, size: int) -> list[int]:
-        """That many of the ready servers, from this balancer's offset on, with unreachable ones last."""
+        """Up to `size` ids of ready servers, from this balancer's offset on, unreachable servers last."""
         ready_ids = self.fleet.ready_ids
         start = int(self.settings.balancer_index * POOL_OFFSET_FLEET_SHARE % 1 * len(ready_ids))
         reachable, unreachable = list[int](), list[int]()
@@ -644,7 +648,7 @@
         return state.in_flight > 0 and (state.consecutive_failures >= HANG_THRESHOLD or is_silent)
 
     def _is_suspect(self, now: int, open_request: OpenRequest, server: Server) -> bool:
-        """Whether a server is slow or stalled. Others come first, or it would get requests without copies."""
+        """Whether a server is slow or stalled. Requests without copies should go to other servers first."""
         silence = now - server.silent_since
         return (
             # A server that was slow lately would be overloaded by more requests.
@@ -1024,7 +1028,8 @@
             server.silent_since, server.answered_since_idle, server.connect_failures = now, True, 0
         if end.outcome is Outcome.OK:
             server.has_answered = True
-            server.slow_start_budget += BUDGET_REFUND_PER_ANSWER  # it may be able to do more than it has to
+            # It may be able to carry more than the settings promise.
+            server.slow_start_budget += BUDGET_REFUND_PER_ANSWER
             n = open_request.request.class_index
             server.relative_latency += SERVER_MEAN_SAMPLE_WEIGHT * (
                 min(end.latency / max(1, self.usual_latency[n]), 4.0) - server.relative_latency
@@ -1068,7 +1073,7 @@
             server.mean_latency_share += SERVER_MEAN_SAMPLE_WEIGHT * (
                 min(latency_share, 2.0) - server.mean_latency_share
             )
-        # A stall says nothing about the load. This includes attempts that were cancelled early.
+        # A stall says nothing about the load. Attempts that were cancelled early count as stalls.
         is_stall = end.outcome in LATE_OUTCOMES and (is_quick or self._reports_spare_capacity(now, server))
         if end.outcome in LATE_OUTCOMES and not is_stall:
             self.admission_share = max(MIN_ADMISSION_SHARE, self.admission_share - ADMISSION_DECREASE_SHARE)
@@ -1084,8 +1089,7 @@
             )
             is_full = server.in_flight > server.in_flight_limit - 1 and uses_limit
             if is_full and not has_queued and not self._reports_busy(server):
-                # A limit below one is a share of the time. It grows in proportion, as it is cut, whatever its
-                # size.
+                # A limit below one is a share of the time. It grows in proportion to its size, as it is cut.
                 growth = LIMIT_GROWTH_ATTEMPTS / self._balancers_per_server()
                 server.in_flight_limit += min(
                     max(MIN_LIMIT_REGROWTH_SHARE, growth) * server.in_flight_limit,
@@ -1114,7 +1118,8 @@
                     open_request.request_class.latency_target * 2**MAX_BACKOFF_DOUBLINGS,
                 ) * (0.5 + self.random())
                 server.connect_failures = min(server.connect_failures + 1, MAX_COUNTED_CONNECT_FAILURES)
-            # With a limit below one attempt, many balancers with one attempt each do not overload a server.
+            # A back-off enforces a limit below one attempt. Otherwise many balancers with one attempt each
+            # would overload a server.
             server.backoff_until = max(server.backoff_until, now + int(backoff))
             if server.connect_failures:
                 self._choose_pool(now)  # another server replaces it at once
@@ -1132,12 +1137,12 @@
         return initial + (1 - initial) * max(0, now - server.entry.started_at) / self.settings.warm_up_time
 
     def _has_slow_start_budget(self, now: int, server: Server) -> bool:
-        """Whether a cold server may be sent one more attempt. All balancers together keep the overload limit.
+        """Whether a cold server may be sent one more attempt without a risk of overload.
 
         The budget grows with each request of this balancer. From each balancer the server gets at most
         SLOW_START_SAFETY_SHARE x overload_multiple x its present capacity share of the work that a server of
         that balancer answers on average, and from all balancers together at most that part of what a warm
-        server carries.
+        server carries. The overload limit thus holds for any number of balancers.
 
         A good answer refunds a part of its attempt, since the server may be able to do more than the settings
         promise. The refund is small, because a margin for random variation has to remain even if all attempts
@@ -1188,8 +1193,8 @@
         )
         self.request_count_at_sweep = self.request_count
         self._choose_pool(now)
-        # Limits must not grow through an overload until all servers are congested. While servers warm up more
-        # capacity is coming, and larger limits bridge the time until then.
+        # If limits kept growing during an overload, all servers would end up congested. While servers warm
+        # up, more capacity is coming, and larger limits bridge the time until then.
         self.growth_latency_multiple = GROWTH_LATENCY_MULTIPLE * (
             WARM_UP_GROWTH_LATENCY_FACTOR
             if any(self._is_cold(now, s) for s in self.pool)
@@ -1215,6 +1220,7 @@
 
     def _must_keep_state(self, now: int, server: Server) -> bool:
         """Whether a server could be sent more than its limits allow if its state were forgotten."""
+        # silent_since is set by the first attempt that is sent to the server.
         has_spent_budget = server.silent_since > 0 and self._is_cold(now, server)
         is_backing_off = now < max(
             server.backoff_until, *(state.backoff_until for state in server.class_states)
@@ -1222,7 +1228,10 @@
         return has_spent_budget or is_backing_off or self._count_abandoned(now, server) > 0
 
     def _update_relative_worth(self) -> None:
-        """Compute each class's worth per work. A high weight of the worst class makes them all alike."""
+        """Compute each class's worth per work.
+
+        A high weight of the worst class makes all classes alike, so that none is given up for the others.
+        """
         worths = [max(c.worth, 1e-9) for c in self.settings.classes]
         costs = [1.0 if self.settings.worth_per_work_unit else u for u in self.usual_latency[: len(worths)]]
         per_work = [w / c * sum(costs) / sum(worths) for w, c in zip(worths, costs, strict=True)]
