--- a/emulator/__init__.py
+++ b/emulator/__init__.py
@@ -1,4 +1,4 @@
-"""Emulates the surroundings of balancers to test them and to measure how they scale.
+"""Emulates clients, photo servers, discovery and control machines, to test and measure balancers.
 
-The balancer itself never imports it.
+The balancer itself never imports this package.
 """
--- a/emulator/cli.py
+++ b/emulator/cli.py
@@ -6,7 +6,7 @@
 
 import click
 
-# Command name to the module that defines a click command named `command`.
+# Maps the name of a command to the module that defines it, as a click command named `command`.
 COMMAND_MODULES: dict[str, str] = {
     "control": "emulator.control.command",
     "slopes": "emulator.slopes.command",
--- a/emulator/soak/balancers.py
+++ b/emulator/soak/balancers.py
@@ -47,11 +47,11 @@
         self.folder = folder
         self.environment = environment
         self.run_records = run_records
-        self.discovery_address_index = 0  # which of its two discovery addresses
+        self.discovery_address_index = 0  # which of its two discovery addresses it uses
         self.process: asyncio.subprocess.Process | None = None
         self.record: ProcessRecord | None = None
         self.last_stalled_at = -math.inf
-        self.may_stall = True  # False: a stall would resume a process that is suspended deliberately
+        self.may_stall = True  # False while its process is suspended: the end of a stall would resume it
 
     @property
     def config_path(self) -> Path:
@@ -106,7 +106,7 @@
             await asyncio.sleep(READY_POLL_INTERVAL_S)
 
     def switch_discovery(self) -> None:
-        """Make it use its other discovery address, by a new configuration and SIGHUP."""
+        """Make it use its other discovery address: write a new configuration file and send SIGHUP."""
         self.discovery_address_index = 1 - self.discovery_address_index
         self.discovery.agents[self.index].address_changed_at = time.monotonic()
         self._write_config()
@@ -173,7 +173,7 @@
             self.record.ended_at = time.monotonic()
 
     async def stop(self) -> None:
-        """Kill its process and give up its port."""
+        """Kill its process and release its port."""
         self.port_reservation.close()
         if self.process is not None and self.process.returncode is None:
             self.process.kill()
--- a/emulator/soak/clients.py
+++ b/emulator/soak/clients.py
@@ -17,8 +17,8 @@
 from emulator.soak.records import Idempotency, RequestRecord, RunRecords
 
 CLASS_NAMES = {Idempotency.SAFE: "read", Idempotency.KEYED: "write", Idempotency.UNSAFE: "order"}
-# The simulated clients wait this long beyond their timeout, to record late responses; then the request is
-# lost.
+# The simulated clients wait this long beyond their timeout, to record late responses too. A request without a
+# response by then is lost.
 RESPONSE_WAIT_MARGIN_S = 2.0
 SPLIT_WRITE_PAUSE_S = 0.004  # between the two parts of a request
 MAX_START_DELAY_S = 1.0  # starting all clients at once would delay the recording process
--- a/emulator/soak/command.py
+++ b/emulator/soak/command.py
@@ -20,7 +20,7 @@
 
 
 def describe_result(result: SoakResult) -> Iterator[str]:
-    """Return a line about the run, then lines about its breaches and how to repeat it."""
+    """Yield a line about the run, then lines about its breaches and the command that repeats it."""
     plan = result.plan
     verdict = f"{len(result.breaches)} BREACHES" if result.breaches else "kept"
     yield (
@@ -50,7 +50,7 @@
     "--plant", type=click.Choice([rule.value for rule in Rule]), help="Break this rule deliberately."
 )
 def command(seeds: int, first: int, seconds: float, jobs: int, logs: Path | None, plant: str | None) -> None:
-    """Run real balancers under seeded faults and check the rules by the records of clients and servers."""
+    """Run real balancers under seeded faults; check the rules against the records of clients and servers."""
     with tempfile.TemporaryDirectory(prefix="soak-") as temporary_folder:
         folder = logs or Path(temporary_folder)
         broken_rule = Rule(plant) if plant is not None else None
--- a/emulator/soak/deliberate_breaches.py
+++ b/emulator/soak/deliberate_breaches.py
@@ -1,4 +1,4 @@
-"""For each rule a way to break it deliberately, to prove that the soak reports it."""
+"""A deliberate breach of each rule, to prove that the soak reports it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     balancer_to_client: StreamFaults = NO_STREAM_FAULTS
     balancer_to_server: StreamFaults = NO_STREAM_FAULTS
     hides_drains: bool = False  # discovery keeps listing draining servers as active
-    hides_starts: bool = False  # discovery does not say that servers have just started
+    hides_starts: bool = False  # discovery lists servers that have just started as started long ago
     suspends_process: bool = False  # a balancer is stopped (SIGSTOP) from its start on
     crashes_process: bool = False  # a balancer gets SIGSEGV
 
--- a/emulator/soak/discovery.py
+++ b/emulator/soak/discovery.py
@@ -17,10 +17,11 @@
 from emulator.soak.records import DrainRecord, RunRecords
 from emulator.soak.servers import Server
 
-# In ask mode a balancer counts as informed of a change this long after an agent that it can reach has it.
+# In ask mode a balancer counts as informed of a change this long after its agent has the change and can be
+# reached.
 INFORMED_AFTER_S = 6.0
 ADDRESS_CHANGE_S = 4.0  # a changed discovery address is in use this long after the change at the latest
-CHECK_INTERVAL_S = 0.02  # between two checks which balancers count as informed
+CHECK_INTERVAL_S = 0.02  # between two checks of which balancers count as informed
 
 
 @dataclass(slots=True)
@@ -42,7 +43,7 @@
     writers: set[asyncio.StreamWriter] = field(default_factory=set)
 
     def available_at(self, changed_at: float) -> float:
-        """Return when this agent has a change and the balancer can reach the agent."""
+        """Return the time from which this agent has a change and its balancer can reach it."""
         ready_at = max(changed_at, self.silent_until)
         return (
             ready_at
--- a/emulator/soak/plan.py
+++ b/emulator/soak/plan.py
@@ -30,7 +30,7 @@
 EXTRA_SIGKILL_DELAY_S = 0.7  # from SIGTERM to the earliest SIGKILL, in addition to the longest client timeout
 MAX_COUNTED_CLIENT_TIMEOUT_S = 3.0  # a longer client timeout does not delay SIGKILL further
 LOAD_SHARE = 0.7  # load as a share of the capacity of all servers
-STALL_S = 0.14  # length of a stall at any moment; a balancer has to cope with 0.15 s
+STALL_S = 0.14  # length of a stall, which may come at any moment; a balancer has to cope with 0.15 s
 STALLS_PER_BALANCER = 6  # besides one during SIGTERM and one just before SIGKILL
 CLOCK_STALL_MS = 90  # length of a stall that the shim injects after a reading of the clock
 CLOCK_STALL_SHARE = 0.0004  # share of the readings of the clock with a stall
@@ -80,7 +80,7 @@
     balancer_count: int
     server_count: int
     push_mode: bool  # whether discovery pushes lists; otherwise balancers ask for them
-    mean_work_s: float  # of a server for a request
+    mean_work_s: float  # of a server, for one request
     warm_server_requests_per_s: float  # capacity of a warm server
     limits: ProtocolLimits
     client_profile: ClientProfile
--- a/emulator/soak/rules.py
+++ b/emulator/soak/rules.py
@@ -19,7 +19,8 @@
 
 # Up to this long after the client timeout a response earns nothing, but does not count as lost.
 LATE_RESPONSE_GRACE_S = 0.5
-CLIENT_WAIT_MARGIN_S = 0.06  # clients wait this long beyond their timeout; a response after that is late
+# Real clients wait this long beyond their timeout; a later response is late. Simulated clients wait longer.
+CLIENT_WAIT_MARGIN_S = 0.06
 MAX_LATE_RESPONSE_SHARE = 1 / 500  # of a balancer's requests may be answered late
 ATTEMPT_AFTER_CLOSE_GRACE_S = 0.1  # an attempt may still start this long after its request was closed
 MAX_DEADLINE_EXCESS_S = 0.15  # by which the deadline sent to a server may exceed the remaining time
@@ -28,7 +29,7 @@
 REJECTION_STATUSES = (429, 503)
 # Steps of a proxied request in the recording process, each delayed by its lag: connect, read, write, arrive.
 PROXY_STEP_COUNT = 4
-SMALL_REQUEST_COUNT = 30  # with fewer expected requests the slow-start limit leaves more room for chance
+SMALL_REQUEST_COUNT = 30  # below this expected number, the slow-start limit allows more for chance
 
 
 class Rule(enum.Enum):
@@ -67,8 +68,8 @@
     dedup_window_s: float  # within which servers drop repeats of a keyed request
     cold_capacity_share: float
     warm_up_s: float
-    overload_multiple: float  # a cold server fails above this multiple of its present capacity
-    overload_window_s: float  # over this time
+    overload_multiple: float  # a cold server crashes above this multiple of its current capacity
+    overload_window_s: float  # time over which its requests are counted for that
     max_attempts: int
 
 
--- a/emulator/soak/run.py
+++ b/emulator/soak/run.py
@@ -17,9 +17,9 @@
 from emulator.faults.shim import build_shim
 from emulator.soak.balancers import ManagedBalancer, shim_environment
 from emulator.soak.clients import Clients
+from emulator.soak.deliberate_breaches import DELIBERATE_BREACHES, NO_DELIBERATE_BREACH, DeliberateBreach
 from emulator.soak.discovery import Discovery
 from emulator.soak.plan import Action, Event, Plan, draw_plan
-from emulator.soak.deliberate_breaches import DELIBERATE_BREACHES, NO_DELIBERATE_BREACH, DeliberateBreach
 from emulator.soak.records import Lag, RunRecords
 from emulator.soak.rules import Breach, Rule, RuleChecker, request_timeline
 from emulator.soak.servers import Server
@@ -138,7 +138,7 @@
         )
 
     async def _inject_process_fault(self) -> None:
-        """Suspend the first balancer as it starts, or crash it later, if the run breaks a rule that way."""
+        """Suspend the first balancer as it starts or crash it later, if the deliberate breach says so."""
         while (process := self.balancers[0].process) is None:
             await asyncio.sleep(LAG_SAMPLE_INTERVAL_S)
         if self.deliberate_breach.suspends_process:
