--- a/emulator/control/agents.py
+++ b/emulator/control/agents.py
@@ -1,7 +1,7 @@
 """The agents of all balancers in one process: `python -m emulator.control.agents`.
 
-Each agent polls the reachable control machines in turn, with one long poll at each, so that a machine that
-lags behind or is cut off delays a version by at most one long poll. Agents keep running while their balancers
+Each agent polls the reachable control machines in turn, with one long poll at each: a machine that lags
+behind or is cut off delays a version by one long poll at most. Agents keep running while their balancers
 restart.
 """
 
@@ -30,11 +30,11 @@
 from emulator.control.http_server import HttpRequest, HttpResponse, HttpServer, query_int
 
 LONG_POLL_MS = 1_000
-LONG_POLL_GRACE_S = 0.5  # after the long poll; then a call without a response counts as failed
-FETCH_OLDER_TIMEOUT_S = 0.2  # of a call while the balancer waits for its response
+LONG_POLL_GRACE_S = 0.5  # beyond the long poll; a call without a response by then counts as failed
+FETCH_OLDER_TIMEOUT_S = 0.2  # short, because the balancer waits for its response meanwhile
 MIN_BACKOFF_S = 0.1  # after a failed call
 MAX_BACKOFF_S = 0.4
-SKIP_DELAY_S = 0.02  # between an unreachable machine and the next one
+SKIP_DELAY_S = 0.02  # from an unreachable machine to the next machine
 MAX_DOCUMENT_BYTES = 4 * 1024 * 1024
 
 
--- a/emulator/control/child.py
+++ b/emulator/control/child.py
@@ -40,7 +40,7 @@
 def run_child(
     config_type: type[Config], main: Callable[[Config, AsyncIterator[Command]], Awaitable[None]]
 ) -> None:
-    """Run `main` until it returns, which it has to do when the commands end, at the latest."""
+    """Run `main`, which may return at any time, but has to return when the commands end."""
 
     async def run() -> None:
         reader = await _open_stdin()
--- a/emulator/control/command.py
+++ b/emulator/control/command.py
@@ -1,4 +1,4 @@
-"""`python -m emulator control`: changes of the settings in service, at the size of the fleet."""
+"""`python -m emulator control`: changes the settings of a whole fleet in service and measures the effect."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from emulator.control.supervisor import StepFailedError
 from emulator.errors import BarFailedError
 
-INTERRUPTED_EXIT_CODE = 130  # of a run that SIGINT or SIGTERM ended
+EXIT_INTERRUPTED = 130  # of a run that SIGINT or SIGTERM ended
 
 
 def print_line(result: StepResult | RunResult) -> None:
@@ -67,7 +67,7 @@
     try:
         result = asyncio.run(_run(loaded_scenario))
     except asyncio.CancelledError:
-        raise click.exceptions.Exit(INTERRUPTED_EXIT_CODE) from None
+        raise click.exceptions.Exit(EXIT_INTERRUPTED) from None
     except (ChildFailedError, StepFailedError, TimeoutError) as exc:
         raise BarFailedError(f"the run failed: {exc or 'a process did not respond in time'}") from None
     print_line(result)
--- a/emulator/control/contract.py
+++ b/emulator/control/contract.py
@@ -49,7 +49,7 @@
     addresses: AddressPlan
     log_path: str
     seed: int
-    crash_after: int = 0  # number of the log's fault point at which the process ends; 0: it does not
+    crash_after: int = 0  # fault point of the log, counted from 1, at which the process ends; 0: none
 
 
 class AgentsConfig(msgspec.Struct, frozen=True):
@@ -96,25 +96,25 @@
 
 
 class Cut(msgspec.Struct, frozen=True, tag=True):
-    """To a control machine: the machines from which it is cut off from now on; replaces the previous list."""
+    """To a control machine: the machines from which it is cut off now; replaces the previous list."""
 
     machines: list[int]
 
 
 class Reach(msgspec.Struct, frozen=True, tag=True):
-    """To the agents: the control machines that the agents of each region can reach from now on."""
+    """To the agents: the control machines that the agents of each region can reach now."""
 
     machines: list[list[int]]
 
 
 class Restart(msgspec.Struct, frozen=True, tag=True):
-    """To a process with balancers: these restart."""
+    """To a process with balancers: restart these."""
 
     balancers: list[int]
 
 
 class Begin(msgspec.Struct, frozen=True, tag=True):
-    """To the traffic process: all balancers are ready, the clients start to send requests."""
+    """To the traffic process: start the clients, as all balancers are ready."""
 
 
 class Finish(msgspec.Struct, frozen=True, tag=True):
--- a/emulator/control/history.py
+++ b/emulator/control/history.py
@@ -25,7 +25,7 @@
         self.new_version_event = asyncio.Event()  # replaced with each new version
 
     def add(self, version: int, settings: str) -> None:
-        """Add a version; settings that are already held for it stay."""
+        """Add a version; one that is already there keeps its settings."""
         self.settings_by_version.setdefault(version, settings)
         if version > self.newest_version:
             self.newest_version = version
--- a/emulator/control/measures.py
+++ b/emulator/control/measures.py
@@ -46,10 +46,10 @@
     in_force_reports: dict[int, list[InForce]] = field(default_factory=lambda: defaultdict(list))
     # By balancer: the times at which it started or the split of its region ended.
     reachable_since_ns: dict[int, list[int]] = field(default_factory=lambda: defaultdict(list))
-    newest_versions: dict[int, int] = field(default_factory=dict)  # by balancer: the newest one ever in force
-    # By version and balancer, without those of earlier incarnations of a balancer.
+    newest_versions: dict[int, int] = field(default_factory=dict)  # by balancer: newest one ever in force
+    # By version and balancer; only those of the current incarnation of each balancer.
     rejection_reasons: dict[int, dict[int, str]] = field(default_factory=lambda: defaultdict(dict))
-    repeated_rejection_count: int = 0  # rejections of a version beyond the first by the same incarnation
+    repeated_rejection_count: int = 0  # rejections of a version after the first one by the same incarnation
     version_regressions: list[InForce | Started] = field(default_factory=list)
     start_count: int = 0
 
@@ -83,7 +83,7 @@
         self.newest_versions[report.balancer] = max(newest, report.version)
 
     def version_delay(self, version: int) -> tuple[PropagationDelay, list[int]]:
-        """Return the delay until this version or a newer one was in force, and the balancers without one."""
+        """Return the delay until this or a newer version was in force, and the balancers where neither is."""
         histogram = HdrHistogram(1, MAX_DELAY_US, 3)
         missing = []
         for balancer in range(self.balancer_count):
--- a/emulator/control/real.py
+++ b/emulator/control/real.py
@@ -24,7 +24,7 @@
 IN_FORCE_PATTERN = re.compile(r"settings version (\d+) is in force")
 REJECTED_PATTERN = re.compile(r"settings version (\d+) is turned down.*")
 READY_POLL_INTERVAL_S = 0.02
-READY_TIMEOUT_S = 20.0
+READY_TIMEOUT_S = 20.0  # from the start of a balancer
 STOP_TIMEOUT_S = 6.0  # from SIGTERM until a balancer that has not ended is killed
 
 
--- a/emulator/control/results.py
+++ b/emulator/control/results.py
@@ -6,10 +6,10 @@
 
 
 class ChangeResult(msgspec.Struct, frozen=True, tag="change"):
-    """One version: seconds until it is in force, over the balancers that could receive it."""
+    """One version: seconds until it was in force, over the balancers that could receive it."""
 
     version: int
-    machine: int
+    machine: int  # control machine at which it was published
     balancers: int
     p50_s: float
     p99_s: float
@@ -40,15 +40,16 @@
 
     balancers: int
     seconds: float
-    versions: int
-    refused: int
-    samples: int
+    versions: int  # accepted by the control machines, without invalid ones
+    refused: int  # changes that the control machines rejected
+    samples: int  # measured delays: one for each version and balancer
     p50: float  # seconds from the publishing of a version until it is in force
     p99: float
     most: float  # maximum
     backwards: int  # number of times that a balancer served an older version than before
     starts: int  # of balancers
-    repeated_lines: int  # reports of an invalid version beyond the first by one incarnation of a balancer
+    # Rejections of an invalid version after the first one by the same incarnation of a balancer.
+    repeated_lines: int
     requests: int
     failed: int  # including refused ones
     lost: int
--- a/emulator/control/scenario.py
+++ b/emulator/control/scenario.py
@@ -115,11 +115,11 @@
     real_balancers: int = Field(8, ge=1)
     hollow_processes: int = Field(3, ge=1)
     machines: int = Field(3, ge=3, le=3)
-    hollow_requests_per_s: float = Field(0.5, ge=0)
-    real_requests_per_s: float = Field(10.0, gt=0)
+    hollow_requests_per_s: float = Field(0.5, ge=0)  # at each one, but none in the first hollow process
+    real_requests_per_s: float = Field(10.0, gt=0)  # at each real balancer
     servers: int = Field(4, ge=1)
     seed: int = 1
-    bar_s: float = Field(4.0, gt=0)
+    bar_s: float = Field(4.0, gt=0)  # longest time that a version may take until it is in force
     steps: list[ScenarioStep]
 
     @model_validator(mode="after")
--- a/emulator/control/supervisor.py
+++ b/emulator/control/supervisor.py
@@ -44,7 +44,7 @@
 MAX_PUBLISH_ATTEMPTS = 5  # of one change, with the same ID
 FINISH_TIMEOUT_S = 20.0  # for the last requests
 POLL_INTERVAL_S = 0.01  # between two checks of a condition on the reports
-MAX_WAIT_BAR_MULTIPLE = 2.0  # of the bar; a step waits no longer for a version
+MAX_WAIT_BAR_MULTIPLE = 2.0  # as a multiple of the bar: how long a step waits for a version at most
 START_TIMEOUT_S = 60.0  # until all balancers have started
 
 
@@ -126,7 +126,7 @@
         self.traffic_child.send_command(Begin())
 
     def _hollow_requests_per_s(self, process: int) -> float:
-        """Return 0 for the first process, so that its processor time is that of the settings alone."""
+        """Return 0 for the first process: its processor time is then that of the settings alone."""
         return self.scenario.hollow_requests_per_s if process else 0.0
 
     async def _start_machine(self, index: int) -> None:
@@ -258,7 +258,7 @@
         return [] if self.cut_off_region is None else self.scenario.balancers_by_region()[self.cut_off_region]
 
     async def _wait_until_in_force(self, version: int) -> None:
-        """Wait until all balancers that can receive the version have it in force, or for the longest wait."""
+        """Wait until the version is in force at all balancers that can receive it, or the wait times out."""
         expected = set(range(self.scenario.balancers)) - set(self._cut_off_balancers())
         deadline = time.monotonic() + MAX_WAIT_BAR_MULTIPLE * self.scenario.bar_s
         while time.monotonic() < deadline:
--- a/emulator/control/traffic.py
+++ b/emulator/control/traffic.py
@@ -26,10 +26,10 @@
 from emulator.discovery_schema import Instance, Listing
 
 SERVICE_TIME_S = 0.005
-DEADLINE_MS = 2_000
-DEADLINE_GRACE_S = 0.5  # after the deadline; then a request without a response counts as lost
+CLIENT_TIMEOUT_MS = 2_000  # X-Deadline-Ms of each request
+RESPONSE_GRACE_S = 0.5  # beyond the client timeout; a request without a response by then counts as lost
 READY_POLL_INTERVAL_S = 0.02
-READY_TIMEOUT_S = 10.0
+READY_TIMEOUT_S = 10.0  # for a balancer that closed the connection or restarts
 LOST_STATUS = 0  # instead of the HTTP status of a request without a response
 MAX_RESPONSE_BYTES = 64 * 1024
 
@@ -122,7 +122,9 @@
         self.lost += status == LOST_STATUS
 
     async def _get_status(self, message: bytes) -> int:
-        return (await self.http_client.send_request(message, DEADLINE_MS / 1000 + DEADLINE_GRACE_S)).status
+        return (
+            await self.http_client.send_request(message, CLIENT_TIMEOUT_MS / 1000 + RESPONSE_GRACE_S)
+        ).status
 
     async def _retry_when_ready(self, message: bytes) -> int:
         """Return the status, or LOST_STATUS if the retry fails too."""
@@ -150,7 +152,7 @@
             f"X-Request-Id: {request_id}",
             f"X-Class: {traffic_class.name}",
             "X-Tenant: acme",
-            f"X-Deadline-Ms: {DEADLINE_MS}",
+            f"X-Deadline-Ms: {CLIENT_TIMEOUT_MS}",
         ]
         if traffic_class.method == "POST":
             lines.append("Content-Length: 0")
