--- a/emulator/slopes/bars.py
+++ b/emulator/slopes/bars.py
@@ -10,7 +10,8 @@
 from emulator.slopes.roles import Figure
 from emulator.slopes.sizes import SMALL_DEPLOYMENT, TARGET, Axis, Scale, axis_points
 
-SMALL_FLEET = axis_points(Axis.FLEET)[0].scale  # 100 servers and 100 tenants, all other sizes at the target
+# 100 servers and 100 tenants, all other sizes as at the target.
+SMALL_FLEET = axis_points(Axis.FLEET)[0].scale
 
 
 class Bar(msgspec.Struct, frozen=True):
--- a/emulator/slopes/client.py
+++ b/emulator/slopes/client.py
@@ -13,7 +13,7 @@
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
 from emulator.slopes.deployment import (
-    REQUEST_TIMEOUT_MS,
+    CLIENT_TIMEOUT_MS,
     class_idempotency,
     class_name,
     exponential_quantile,
@@ -23,7 +23,7 @@
 
 Address = tuple[str, int]
 
-MAX_RECORDED_US = 60_000_000
+MAX_RECORDED_US = 60_000_000  # upper end of the histogram
 SIGNIFICANT_DIGITS = 3  # precision of the histogram
 REQUEST_BODY = b"x" * 200
 RESPONSE_WAIT_S = 1.5  # for pending responses, after the last request
@@ -102,7 +102,7 @@
         f"X-Request-Id: {request_id}",
         f"X-Class: {class_name(class_index)}",
         f"X-Tenant: {tenant_name(tenant_index)}",
-        f"X-Deadline-Ms: {REQUEST_TIMEOUT_MS}",
+        f"X-Deadline-Ms: {CLIENT_TIMEOUT_MS}",
     ]
     if idempotency == "token":
         lines.append(f"Idempotency-Key: key-{request_id}")
@@ -115,8 +115,8 @@
     """Sends requests at random times, regardless of responses, and records the latency added to the service.
 
     The added latency is the time from sending a request to the last byte of its response, minus the time for
-    which the photo server held the request, as its body states. It is caused by the balancer, the network
-    and this process.
+    which the photo server held the request, as the body of the response states. It is caused by the balancer,
+    the network and this process.
     """
 
     def __init__(self, targets: list[Address], scale: Scale, seed: int) -> None:
@@ -188,9 +188,9 @@
             idle.append(connection)
 
     def _record(self, status: int, added_ns: int) -> None:
-        """Record a request; one that is not served counts with the whole request timeout."""
+        """Record a request; one that is not served counts with the whole client timeout."""
         self.status_counts[status] += 1
-        added_us = added_ns // 1_000 if status == 200 else REQUEST_TIMEOUT_MS * 1_000
+        added_us = added_ns // 1_000 if status == 200 else CLIENT_TIMEOUT_MS * 1_000
         self.added_latency_us.record_value(max(1, added_us))
 
     def _on_response(self, sent_at_ns: int, finished: asyncio.Future[None], status: int, body: bytes) -> None:
--- a/emulator/slopes/deployment.py
+++ b/emulator/slopes/deployment.py
@@ -18,9 +18,9 @@
 MACHINE_TYPES = ("small", "large")
 SERVERS_PER_CELL = 8
 QUOTA_TRAFFIC_MULTIPLE = 1.5  # sum of all tenant quotas, as a multiple of the traffic
-REQUEST_TIMEOUT_MS = 900  # how long a client waits for a response
+CLIENT_TIMEOUT_MS = 900  # X-Deadline-Ms of each request: how long its client waits for a response
 _IDEMPOTENCY_VALUES = ("pure", "token", "side_effect")
-_CLIENT_TIMEOUT_NS = 1_000 * NS_PER_MS
+_MAX_CLIENT_TIMEOUT_NS = 1_000 * NS_PER_MS  # in the settings, of each class; the clients use less of it
 
 
 class DiscoveryMode(Enum):
@@ -49,11 +49,11 @@
     return {
         "name": class_name(class_index),
         "goalTimeNs": 250 * NS_PER_MS,
-        "deadlineNs": _CLIENT_TIMEOUT_NS,
+        "deadlineNs": _MAX_CLIENT_TIMEOUT_NS,
         "worth": 1.0 + class_index % 5,
         "idempotency": class_idempotency(class_index),
         "group": "all",
-        "windowNs": _CLIENT_TIMEOUT_NS,
+        "windowNs": _MAX_CLIENT_TIMEOUT_NS,
         "lateShare": 0.0,
         "stream": False,
     }
@@ -144,5 +144,5 @@
 
 
 def exponential_quantile(fraction: float, mean: float) -> float:
-    """Return a quantile of an exponential distribution, to turn uniform draws into exponential intervals."""
+    """Return a quantile of an exponential distribution: turns a uniform draw into an exponential interval."""
     return -mean * math.log(1.0 - fraction)
--- a/emulator/slopes/module_host.py
+++ b/emulator/slopes/module_host.py
@@ -23,7 +23,7 @@
 from emulator.slopes.deployment import (
     NS_PER_MS,
     NS_PER_S,
-    REQUEST_TIMEOUT_MS,
+    CLIENT_TIMEOUT_MS,
     build_server_entry,
     build_settings,
 )
@@ -44,7 +44,7 @@
         self.timers: list[tuple[int, str]] = []
         self.log_bytes = self.timer_count = 0
         self.request_count = 0
-        self.max_timer_call_ns = 0  # processor time of the longest on_timer call
+        self.max_timer_call_ns = 0  # processor time of the longest call of on_timer
         self.attempts_by_server: dict[int, int] = {}
         self._process_actions(self.balancer.on_start(self.now_ns))
         self.full_list = ServerListUpdate(
@@ -76,7 +76,7 @@
         request = Request(
             id=request_id,
             class_index=self.random.randrange(self.scale.services),
-            deadline=self.now_ns + REQUEST_TIMEOUT_MS * NS_PER_MS,
+            deadline=self.now_ns + CLIENT_TIMEOUT_MS * NS_PER_MS,
             tenant_index=self.random.randrange(self.scale.tenants),
         )
         sends = [
--- a/emulator/slopes/process_role.py
+++ b/emulator/slopes/process_role.py
@@ -15,8 +15,8 @@
 from emulator.slopes.sizes import SMALL_DEPLOYMENT, TARGET, Axis, Scale
 
 SECONDS_PER_DAY = 86_400
-RIG_STOP_TIMEOUT_S = 15.0  # for stopping the balancer and exiting
-BAR_SCALES = (TARGET, SMALL_DEPLOYMENT)  # measured for longer, because bars depend on them
+RIG_STOP_TIMEOUT_S = 15.0  # for the rig to stop its balancer and exit
+BAR_SCALES = (TARGET, SMALL_DEPLOYMENT)  # measured for a longer time, because bars depend on them
 
 
 def run_rig(job: MeasurementJob) -> MeasurementResult:
--- a/emulator/slopes/rig.py
+++ b/emulator/slopes/rig.py
@@ -21,13 +21,13 @@
 from emulator.slopes.sizes import Scale
 from emulator.slopes.standins import DiscoveryAgent, start_discovery_agent, start_photo_servers
 
-JOB_TIMEOUT_S = 120.0
+JOB_TIMEOUT_S = 120.0  # for all measurements of one job
 SETTLE_S = 0.5  # from ready until the balancer counts as idle
 WARM_UP_S = 0.8  # of load before the measurement
 CHANGE_EXCHANGE_S = 0.3  # for the response with one change and the next call of the balancer
-PROBE_BEFORE_LIST_S = 0.2
+PROBE_BEFORE_LIST_S = 0.2  # length of the probing before the list is sent
 PROBE_AFTER_LIST_S = 0.6
-MAX_DIRECT_SERVERS = 10  # that receive requests without the balancer
+MAX_DIRECT_SERVERS = 10  # servers that also receive requests directly, without the balancer
 
 
 class MeasurementJob(msgspec.Struct, frozen=True):
@@ -54,7 +54,7 @@
 class AddedLatency(msgspec.Struct, frozen=True):
     """Latency of a stream of requests without the service time of the photo servers, in milliseconds.
 
-    A request that is not served counts with the whole request timeout.
+    A request that is not served counts with the whole client timeout.
     """
 
     p50: float
@@ -66,8 +66,8 @@
 class LoadMeasurement(msgspec.Struct, frozen=True):
     """Measurements of a balancer under load, and of a simultaneous stream directly to the photo servers."""
 
-    cpu_share: float
-    resident: int
+    cpu_share: float  # of one core
+    resident: int  # bytes
     log_per_s: float
     balanced: AddedLatency
     direct: AddedLatency
@@ -76,8 +76,8 @@
 class FirstListMeasurement(msgspec.Struct, frozen=True):
     """Longest wait for a response of `/ready`, in milliseconds."""
 
-    before: float  # before the list is sent: the share of the rig
-    during: float  # from then on
+    before: float  # before the list is sent: caused by the rig, not by the list
+    during: float  # from the sending of the list on
 
 
 class MeasurementResult(msgspec.Struct, frozen=True):
--- a/emulator/slopes/roles.py
+++ b/emulator/slopes/roles.py
@@ -29,7 +29,7 @@
     load_seconds: float
     bar_idle_seconds: float  # in place of idle_seconds, at the scales of the bars
     bar_load_seconds: float  # in place of load_seconds, at the scales of the bars
-    starts: int  # starts of the balancer, where the best of several counts
+    starts: int  # how often a balancer is started for a measurement of which the best start counts
 
 
 FULL_BUDGET = MeasurementBudget(
--- a/emulator/slopes/standins.py
+++ b/emulator/slopes/standins.py
@@ -64,7 +64,7 @@
 
 
 class PhotoServerProtocol(HttpServerProtocol):
-    """Responds to each request after the service time; the body is the time it was held, in nanoseconds."""
+    """Responds to each request after the service time; the response states the nanoseconds it was held."""
 
     def on_message_complete(self) -> None:
         """Callback of the parser."""
@@ -93,7 +93,7 @@
 
 
 class DiscoveryAgent:
-    """The server list of discovery on this machine, and the long polls that wait for a newer one."""
+    """The discovery agent of a balancer: its server list, and the long polls that wait for a newer list."""
 
     def __init__(self, servers: int, server_port: int) -> None:
         self.servers = servers
@@ -102,7 +102,7 @@
         self.full_list_response = http_response(encode_full_list(servers, server_port))
         self.delta_response = b""  # of the latest change
         self.withholds_responses = False  # all calls wait, also those for the first list
-        # The generation that the caller of each long poll has.
+        # By long poll: the generation that its caller has, None if it has no list.
         self.pending_polls: dict[DiscoveryAgentProtocol, int | None] = {}
         self.bytes_in = self.bytes_out = 0
 
--- a/tests/emulator/test_slopes_standins.py
+++ b/tests/emulator/test_slopes_standins.py
@@ -15,7 +15,7 @@
 from emulator.slopes import rig
 from emulator.slopes.balancer_process import RigError
 from emulator.slopes.client import NO_RESPONSE, ClientConnection, OpenLoopClient, open_connection
-from emulator.slopes.deployment import REQUEST_TIMEOUT_MS, server_host
+from emulator.slopes.deployment import CLIENT_TIMEOUT_MS, server_host
 from emulator.slopes.process_role import run_rig
 from emulator.slopes.rig import MeasurementJob, MeasurementResult, job_result
 from emulator.slopes.sizes import BASE
@@ -99,7 +99,7 @@
         await client.run(0.1)
         await client.wait_for_responses()
         assert client.status_counts == {NO_RESPONSE: client.request_count}
-        assert client.added_latency_us.get_value_at_percentile(1) >= REQUEST_TIMEOUT_MS * 1_000
+        assert client.added_latency_us.get_value_at_percentile(1) >= CLIENT_TIMEOUT_MS * 1_000
 
     run_async(main())
 
