--- a/dykeshift/benchlink.py
+++ b/dykeshift/benchlink.py
@@ -34,8 +34,8 @@
     LOAD_REPORT_FIELDS,
     MalformedInputError,
     build_load_report,
-    parse_settings_json,
     parse_choice,
+    parse_settings_json,
 )
 
 _LIST_KINDS = {
@@ -66,7 +66,7 @@
     "REMINDER": 3,
     "PROBE_DONE": 6,
     "NEIGHBOUR_SAYS": 4,
-    "M": 8,
+    "M": 8,  # an entry of the server list that the preceding ANNOUNCE begins
 }
 
 
--- a/dykeshift/control.py
+++ b/dykeshift/control.py
@@ -17,7 +17,8 @@
 from dykeshift.settings import MalformedInputError
 from dykeshift.settings_check import check_settings, with_fixed_keys
 
-LONG_POLL_MS = 2_000  # longest hold of a call; an agent that stops responding is noticed soon after it
+# Longest time that the agent may hold back a response. If it stops responding, that is noticed soon after.
+LONG_POLL_MS = 2_000
 FIRST_BACKOFF_S = 0.2  # doubled with each consecutive failure
 MAX_BACKOFF_S = 1.6
 MIN_BACKOFF_SHARE = 0.5  # of the back-off; the rest is random jitter
@@ -126,7 +127,7 @@
             return Ignore()
         if searched_below is not None and version >= searched_below:
             raise DocumentError(
-                f"the agent returned version {version}, requested was one below {searched_below}"
+                f"the agent returned version {version} to a request for one below {searched_below}"
             )
         self.newest_seen = max(self.newest_seen, version)
         if version in self.rejected:
--- a/dykeshift/settings_check.py
+++ b/dykeshift/settings_check.py
@@ -1,8 +1,8 @@
 """Validates settings that are to come into force while the balancer serves.
 
-The error names the path of the first invalid value. The check is stricter than `settings.parse_settings`,
-which reads the settings at the start: a serving balancer can keep the settings it has, so anything doubtful
-is better rejected.
+The SettingsError names the path of the first invalid value. The check is stricter than
+`settings.parse_settings`, which reads the settings at the start: a serving balancer can keep the settings it
+has, so anything doubtful is better rejected.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 # These describe the machine or the whole deployment and keep the values from the start of the balancer.
 FIXED_KEYS = ("az", "me", "failureDomains", "kinds", "discovery")
 PER_BALANCER_KEYS = ("az", "me")  # fixed keys that differ between balancers
-MAX_NUMBER = 1e15  # limit for rates and worths
+MAX_NUMBER = 1e15  # limit of numbers without a tighter one, such as quotas and worths
 MAX_SHOWN_CHARS = 60  # of an invalid value in an error message
 
 
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -223,7 +223,7 @@
         )
 
     def end_all_attempts(self, request_id: str, outcome: Outcome = Outcome.OK) -> None:
-        """End all attempts of a request that are in flight, and those sent in consequence."""
+        """End all attempts of a request that are in flight, including those that are sent as a result."""
         for n, current in enumerate(self.requests[request_id].outcomes):
             if current is None:
                 self.end_attempt(request_id, n, outcome)
--- a/tests/test_decision_cost.py
+++ b/tests/test_decision_cost.py
@@ -210,7 +210,9 @@
     other.on_list(traffic.now, ServerListUpdate(ListKind.FULL, traffic.entries))
     allocated = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    assert allocated <= 800_000, "more than an index of the servers and two numbers per tenant, entries aside"
+    assert (
+        allocated <= 800_000
+    ), "without the entries, more than an index of the servers and two numbers per tenant"
     assert len(other.servers) == len(other.pool) == 10
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -149,7 +149,10 @@
 
 
 def attempts_at_cold_server(harness: BalancerHarness, cold_server_id: int, rounds: int) -> tuple[int, float]:
-    """Count the attempts sent to a cold server that answers nothing, and the mean of the busy others."""
+    """Send requests to servers that report a queue; the cold one answers none of them.
+
+    Returns the number of attempts at the cold server and the mean number at the others.
+    """
     counts: dict[int, int] = {}
     for _ in range(rounds):
         request_id = harness.submit(2)
--- a/tests/test_regressions.py
+++ b/tests/test_regressions.py
@@ -74,7 +74,7 @@
 
 
 def test_a_stalled_attempt_gets_a_delayed_copy() -> None:
-    """Stalls of 140 to 230 ms at every server made all requests late that the server held."""
+    """At stalls of 140 to 230 ms, all requests that were in flight at the stalled server became late."""
     harness = harness_with_servers()
     warm_up(harness)
     request_id = harness.submit(0)
@@ -106,7 +106,7 @@
 
 
 def test_a_waiting_request_is_refused_once_it_can_no_longer_be_in_time() -> None:
-    """Guards against requests with too little time left that occupy servers others could use in time.
+    """Guards against sending requests with too little time left, at the cost of others that can be in time.
 
     Incident i3bc64d.
     """
@@ -158,7 +158,7 @@
 
 
 def test_the_limit_of_a_server_that_reports_itself_busy_does_not_grow() -> None:
-    """Quick answers to this balancer say little about a server that others fill.
+    """Quick answers to this balancer say little about a server that other balancers load.
 
     Incidents ieb0e10 and i25554e.
     """
@@ -406,7 +406,7 @@
 
 
 def test_a_server_that_could_not_be_reached_returns_to_the_pool() -> None:
-    """Guards against avoiding a server that refused connections until its process is replaced."""
+    """Guards against a server that refused connections staying out of use until its process is replaced."""
     harness = harness_with_servers(60, balancer_count=40)
     unreachable = {s.entry.id for s in harness.balancer.pool[:5]}
 
@@ -450,10 +450,10 @@
 
 
 def test_no_limit_grows_on_an_answer_that_has_queued_and_a_small_one_backs_off_after_it() -> None:
-    """Guards against taking answers for quick that waited in the server's queue.
+    """Guards against limits that grow on answers to requests that have waited in the server's queue.
 
-    Answers within 0.35 of the latency target had six requests before them in the queue; limits grew on them
-    until all servers were congested.
+    Answers within 0.35 of the latency target counted as quick although six requests had been ahead of them in
+    the queue. Limits grew on them until all servers were congested.
     """
     is_backing_off = []
     for latency in (20, 120):  # both within 0.35 of the latency target
@@ -692,8 +692,8 @@
 def test_in_an_overload_a_retry_that_is_past_its_latency_target_is_refused_at_once() -> None:
     """Guards against retries that displace requests which can still be answered in time.
 
-    In the recording of incident inc7570, clients retried with 160 of 199 ms left, when only 120 had been of
-    use to them.
+    In the recording of incident inc7570, clients retried with 160 of their 199 ms left, although an answer
+    was of use to them only within 120 ms.
     """
     harness = harness_with_servers(1, max_retry_after=2 * S)
     request_class = CLASSES[0]
@@ -779,8 +779,8 @@
 def test_a_quota_split_among_many_balancers_still_allows_requests() -> None:
     """Guards against a bucket that can never hold a whole request.
 
-    Of a quota of 20 requests per second each of 200 balancers has a tenth, which is less than one request in
-    QUOTA_BURST_S: none was within the quota.
+    Of a quota of 20 requests per second, each of 200 balancers has 0.1 per second, which is less than one
+    request in QUOTA_BURST_S. No request was within the quota.
     """
     balancer = Balancer(make_settings(balancer_count=200, tenant_quotas_per_s=(20.0,)), seed=1)
     over_quota = []
--- a/tests/test_watch_retries_and_slow_start.py
+++ b/tests/test_watch_retries_and_slow_start.py
@@ -95,7 +95,7 @@
 
 @pytest.mark.parametrize("kind", [ListKind.FAILED, ListKind.INTERRUPTED])
 def test_in_push_mode_the_module_does_not_watch(kind: ListKind) -> None:
-    """The network code alone repeats the calls then."""
+    """In push mode, only the network code repeats the calls to discovery."""
     harness = BalancerHarness(make_settings(watch_discovery=False, balancer_count=420))
     harness.update_server_list(kind)
     assert not harness.watch_count and not any(token == "watch" for _, token in harness.timers)
@@ -146,10 +146,10 @@
         self.random = Random(seed)
         self.now = 100 * S
         self.rates = rates  # requests per second by balancer
-        # Mean execution time of a request at a warm server.
+        # Mean execution time of a request at a warm server, in nanoseconds.
         self.work = int(LOAD_SHARE * self.CORES * server_count / sum(rates) * S)
         self.servers = {n: SimulatedServer(server_entry(n)) for n in range(server_count)}
-        self.numbers = count()
+        self.numbers = count()  # for request ids and for the order of simultaneous events
         self.events: list[tuple[int, int, Callable[[], None]]] = []
         self.requests: list[dict[str, SimulatedRequest]] = [{} for _ in rates]
         self.balancers = [
@@ -307,7 +307,7 @@
         return sum(answers) / len(answers)
 
     def overload_ratios(self) -> list[float]:
-        """For each overload window in which a server was cold: the attempts over the allowed number."""
+        """For each overload window in which a server was cold: its attempts divided by the allowed number."""
         ratios, window = [], self.settings.overload_window
         for server in self.servers.values():
             if not server.entry.started_at:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -141,7 +141,7 @@
 
 
 def requests_without_answers(instances: list[int]) -> str:
-    """The same requests for each instance; what it sends gets no answers on purpose."""
+    """The same requests for each instance. Their attempts are deliberately not answered."""
     out = batch(1, 0, *(line for i in instances for line in configure(i, seed=i + 1)))
     for n in range(2, 80):
         now = n * 20000000
