--- a/emulator/fleet/apportion.py
+++ b/emulator/fleet/apportion.py
@@ -1,4 +1,4 @@
-"""Divides a number of members among parts by their shares, with the same result in every process."""
+"""Divides members of a fleet among parts (zones, machine types) by their shares, alike in every process."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def apportion(total: int, shares: Sequence[float]) -> list[int]:
-    """Number of members per part, by the largest remainder method; the counts add up to `total`."""
+    """Number of members per part, by the largest remainder method. The counts add up to `total`."""
     share_sum = sum(shares)
     exact = [total * share / share_sum for share in shares]
     counts = [int(value) for value in exact]
--- a/emulator/fleet/client_model.py
+++ b/emulator/fleet/client_model.py
@@ -19,7 +19,8 @@
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000_000_000
 MIN_WORK_US = 50
-MAX_ARRIVAL_LAG_NS = 250_000_000  # a first try later than this is not made: the machine is overloaded
+# A first try that is later than this is counted as missed and not made, as this machine is overloaded.
+MAX_ARRIVAL_LAG_NS = 250_000_000
 
 
 class TryOutcome(StrEnum):
@@ -55,14 +56,14 @@
 class ClientRequest:
     """Request of a client, with all its tries."""
 
-    number: int
+    number: int  # counted from 1 among the requests of the process
     balancer: int  # of the first try
     class_index: int
     tenant_index: int
-    work_us: int
+    work_us: int  # processor time on a core of speed 1
     started_at: int
     honours_retry_after: bool
-    disconnects_after_ns: int  # after its first try is sent; 0: never
+    disconnects_after_ns: int  # from the start of its first try; 0: never
 
 
 @dataclass(slots=True, eq=False)
@@ -71,12 +72,12 @@
 
     request: ClientRequest
     index: int  # 0: the first try of the request
-    sent_at: int
+    sent_at: int  # time at which it is due, which may be in the future
     timeout_ns: int
 
     @property
     def is_retry(self) -> bool:
-        """Whether the client marks the try as a retry for the balancer."""
+        """Whether the client marks the try as a retry in its HTTP request."""
         return self.index > 0
 
 
--- a/emulator/fleet/clients.py
+++ b/emulator/fleet/clients.py
@@ -32,8 +32,8 @@
 
 ROLE = "clients"
 TIMER_INTERVAL_S = 0.001
-MAX_TIMER_RUN_NS = 5_000_000  # of timers in one go, before the event loop serves the sockets again
-RESPONSE_GRACE_NS = 20 * NS_PER_MS  # a client waits this long after the timeout of its try
+MAX_TIMER_RUN_NS = 5_000_000  # due timers run for at most this long before the sockets are served again
+RESPONSE_GRACE_NS = 20 * NS_PER_MS  # a client waits this much longer than the timeout of its try
 REFUSAL_STATUSES = (429, 503)
 
 
@@ -41,7 +41,7 @@
     """Body of a 200 response of a stand-in photo server."""
 
     served: str  # id of the request
-    held_us: int  # from the last byte of the request to the response, with the network delays
+    held_us: int  # from the last byte of the request to the response, including the simulated network delays
 
 
 class OpenTry:
@@ -51,7 +51,8 @@
 
     def __init__(self, client_try: ClientTry, started_at: int) -> None:
         self.client_try = client_try
-        self.started_at = started_at  # not `sent_at`: this process's own lag is no latency of the balancer
+        # Later than `sent_at` by the lag of this process, which must not count as latency of the balancer.
+        self.started_at = started_at
         self.connection: HttpClientConnection | None = None
         self.is_closed = False
 
@@ -225,7 +226,7 @@
     # ---- measures ----
 
     def measure(self, at_s: float) -> None:
-        """Print the measure of the time since the last call."""
+        """Print the measures since the last call."""
         counts, self._counts = self._counts, RequestCounts()
         invalid_answers, self._invalid_answers = self._invalid_answers, 0
         measure = ClientMeasure(
--- a/emulator/fleet/contract.py
+++ b/emulator/fleet/contract.py
@@ -80,8 +80,8 @@
     number: int  # unique on its connection
     server: int
     work_us: int  # processor time on a core of speed 1
-    wait_us: int  # timeout of the balancer
-    balancer: int = 0  # sender; determines the network delay and the connection
+    wait_us: int  # the balancer's timeout for this attempt
+    balancer: int = 0  # the sender; determines the network delay and the connection
 
 
 class AttemptBatch(msgspec.Struct, frozen=True, array_like=True):
@@ -92,12 +92,12 @@
 
 
 class Result(msgspec.Struct, frozen=True, array_like=True):
-    """Outcome of one attempt; there is none for an attempt that gets no response."""
+    """Result of one attempt; none is sent for an attempt that gets no response."""
 
     number: int
     outcome: str  # name of a member of dykeshift.interface.Outcome
     in_flight: int  # requests at the server when it responded
-    service_us: int  # recent service time of the server, without time in its queue
+    service_us: int  # recent service time of the server, without the time in its queue
 
 
 class ResultBatch(msgspec.Struct, frozen=True, array_like=True):
@@ -109,7 +109,8 @@
 def request_target(work_us: int, balancer: int) -> str:
     """Target of a client's request.
 
-    The parameters are in the target, as a balancer forwards it unchanged but drops unknown headers.
+    The parameters of the request are in the target, as a balancer forwards the target unchanged but drops
+    unknown headers.
     """
     return f"/api?work_us={work_us}&balancer={balancer}"
 
--- a/emulator/fleet/derived_scenario.py
+++ b/emulator/fleet/derived_scenario.py
@@ -20,7 +20,7 @@
 
 
 def write_quick_scenario(scenario: Scenario, path: Path) -> Scenario:
-    """Write a reduced scenario as TOML and load it; raises BadInputError if the reduced one is invalid."""
+    """Write a reduced scenario as TOML and load it; raises BadInputError if the result is invalid."""
     return _write(_reduce(scenario), path)
 
 
@@ -69,7 +69,7 @@
         event["every_s"] = max(MIN_CHANGE_INTERVAL_S, event["every_s"])
     if "count" in event:
         event["count"] = min(event["count"], real)
-    event.pop("rack", None)  # there are fewer racks, so a random one takes its place
+    event.pop("rack", None)  # the reduced zone may not have this rack, so a random one fails instead
 
 
 def _format_toml(value: Any) -> str:
--- a/emulator/fleet/discovery.py
+++ b/emulator/fleet/discovery.py
@@ -26,7 +26,7 @@
 
 
 class DiscoveryProcess:
-    """All agents, with their sockets, releases of list versions and measures."""
+    """The agents of all balancers, with their sockets, their releases of list versions and their measures."""
 
     def __init__(self, fleet: FleetContext) -> None:
         self.fleet = fleet
@@ -80,7 +80,7 @@
             )
 
     def start(self, clock: ScenarioClock) -> None:
-        """Start to release the versions at their times."""
+        """Start releasing the list versions at their times."""
         self.clock = clock
         self.deadline_timer = DeadlineTimer(asyncio.get_running_loop(), clock.now_s, self.releases)
         for agent in self.agents:
@@ -107,7 +107,7 @@
                     self.agents[number].handle_balancer_restart()
 
     def measure(self, at_s: float) -> None:
-        """Print the measures of one second."""
+        """Print the measures since the last call."""
         now, before = self.traffic, self.reported_traffic
         print_message(
             DiscoverySecond(
--- a/emulator/fleet/discovery_agent.py
+++ b/emulator/fleet/discovery_agent.py
@@ -27,8 +27,8 @@
     """Calls and bytes of all agents together."""
 
     calls: int = 0
-    whole_lists: int = 0
-    silent_calls: int = 0
+    whole_lists: int = 0  # responses with a full list
+    silent_calls: int = 0  # calls that get no response, in an outage or with silent watches
     sent_bytes: int = 0
     received_bytes: int = 0
 
@@ -38,7 +38,7 @@
     """One call of a balancer."""
 
     generation: int | None  # of the balancer's list; None: it asks for the full list
-    hold_ms: int  # longest wait of a long poll; 0: answered at once
+    hold_ms: int  # maximal wait of a long poll; 0: the call is answered at once
 
 
 class ResponseSender(Protocol):
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True, eq=False)
 class PendingLongPoll:
-    """A call that waits for a change."""
+    """A call that waits for a change of the list."""
 
     generation: int
     sender: ResponseSender
@@ -58,16 +58,16 @@
 
 @dataclass(slots=True, eq=False)
 class DiscoveryAgent:
-    """Sends to one balancer the list versions that the discovery replica of its region has released."""
+    """Sends one balancer the list versions that the discovery replica of its region has released."""
 
     encoder: RegionEncoder
     acknowledgements: AcknowledgementTracker
     traffic: TrafficCounts
     releases: DeadlineHeap
     versions: Sequence[ListVersion]
-    visible_at_s: Callable[[float], float]  # time at which this agent has a version, by release time
+    visible_at_s: Callable[[float], float]  # from the release time of a version to when this agent has it
     call_later: Callable[[float, Callable[[], None]], object]
-    generation: int = FIRST_GENERATION
+    generation: int = FIRST_GENERATION  # latest one that this agent has
     ignores_calls: bool = False
     ignores_long_polls: bool = False
     long_polls: list[PendingLongPoll] = field(default_factory=list)
@@ -105,7 +105,7 @@
         self.long_polls.clear()
 
     def handle_balancer_restart(self) -> None:
-        """Forget the pending calls of a balancer that has ended."""
+        """Forget the pending calls of a balancer whose process has ended."""
         self.acknowledgements.handle_balancer_restart()
         self.long_polls.clear()
 
--- a/emulator/fleet/discovery_encoding.py
+++ b/emulator/fleet/discovery_encoding.py
@@ -59,8 +59,8 @@
 class RegionEncoder:
     """Encodes the responses of the agents of one region.
 
-    A full list is joined from encoded entries. To encode all entries again for each new version would delay
-    the responses of all agents too long.
+    A full list is joined from entries that are already encoded: encoding all entries again for each new
+    version would delay the responses of all agents too long.
     """
 
     def __init__(self, versions: Sequence[ListVersion], servers: int, builder: InstanceBuilder) -> None:
@@ -74,7 +74,7 @@
         self.delta = lru_cache(MAX_CACHED_DELTAS)(self._encode_delta)
 
     def _encode_full_list(self, generation: int) -> bytes:
-        """Body with the full list of a generation."""
+        """Response body with the full list of a generation."""
         rows = self._initial_rows.copy()
         for entry in merge_versions(self._versions[: generation - FIRST_GENERATION]):
             key = (entry.server, entry.replacements)
@@ -85,7 +85,7 @@
         return _encode_listing(generation, b"true", rows.values())
 
     def _encode_delta(self, begin: int, end: int) -> bytes:
-        """Body with the changes from one generation to a later one."""
+        """Response body with the changes from one generation to a later one."""
         versions = self._versions[begin - FIRST_GENERATION : end - FIRST_GENERATION]
         return _encode_listing(end, b"false", map(self._encode_entry, merge_versions(versions)))
 
--- a/emulator/fleet/discovery_list.py
+++ b/emulator/fleet/discovery_list.py
@@ -1,8 +1,8 @@
 """Versions of the server list and the times at which each balancer's agent has them.
 
 Both are pure functions of the scenario and the seed. Each region has a replica of discovery with its own
-versions. A change reaches a replica after a lag, but not before the end of a split between the regions, and
-each agent some time after the replica of its region.
+versions. A change reaches a replica after a lag, but not before the end of a split between the regions. It
+reaches each agent some time after the replica of the agent's region.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from emulator.fleet.layout import Layout
 from emulator.fleet.scenario import DiscoveryService, Scenario
 
-JITTER_STREAM = 2  # random stream of the agents' delays, distinct from other uses of the seed
+JITTER_STREAM = 2  # random stream of the agents' delays, separate from other streams with the same seed
 FIRST_GENERATION = 1  # list at the start of the run, with all servers running
 
 
@@ -51,7 +51,7 @@
     """Entry of the list for one server."""
 
     server: int
-    replacements: int  # of its machine so far; each gives it a new instance id
+    replacements: int  # of its machine so far; each gives the server a new instance id
     lifecycle: Lifecycle
     started_s: float | None  # in seconds of the scenario; None: before the scenario
 
@@ -102,7 +102,7 @@
         self.jitter_s: list[float] = (draws * scenario.discovery.spread_s).tolist()
 
     def visible_at_s(self, balancer: int, release_s: float) -> float:
-        """Time at which a balancer's agent can announce a release: after its delay, and not in an outage."""
+        """Time at which a balancer's agent can announce a release: after its delay, not during an outage."""
         at_s = release_s + self.jitter_s[balancer]
         for outage in self._outages[self.layout.balancer_region(balancer)]:
             at_s = outage.defer(at_s)
@@ -163,7 +163,7 @@
     service: DiscoveryService, layout: Layout, timeline: Sequence[events.Event]
 ) -> Iterator[_Change]:
     replacements: dict[int, int] = defaultdict(int)
-    latest: dict[int, float] = defaultdict(float)  # publication time; keeps the changes of a server in order
+    last_published_s: dict[int, float] = defaultdict(float)  # by server; keeps its changes in order
     for event in timeline:
         if not isinstance(event, LISTED_EVENTS):
             continue
@@ -175,8 +175,8 @@
                 replacements[server] += event.replaced
                 started_s = event.at_s
             batch_number = math.ceil(noticed_at_s / service.period_s)
-            published_s = max(latest[server], batch_number * service.period_s + service.lag_s)
-            latest[server] = published_s
+            published_s = max(last_published_s[server], batch_number * service.period_s + service.lag_s)
+            last_published_s[server] = published_s
             entry = ListEntry(server, replacements[server], LIFECYCLE_AFTER[type(event)], started_s)
             yield _Change(published_s, layout.servers[server].region, entry)
 
--- a/emulator/fleet/discovery_measures.py
+++ b/emulator/fleet/discovery_measures.py
@@ -33,8 +33,8 @@
 
     at_s: float
     calls: int
-    whole_lists: int
-    silent_calls: int
+    whole_lists: int  # responses with a full list
+    silent_calls: int  # calls without a response, in an outage or with silent watches
     sent_bytes: int
     received_bytes: int
     hollow: Propagation
@@ -42,7 +42,10 @@
 
 
 class DiscoveryTotal(msgspec.Struct, frozen=True, tag=True):
-    """The whole run. `hollow_histogram` and `real_histogram` are encoded HDR histograms in microseconds."""
+    """The whole run; counts as in `DiscoverySecond`.
+
+    `hollow_histogram` and `real_histogram` are encoded HDR histograms in microseconds.
+    """
 
     at_s: float
     calls: int
@@ -123,14 +126,14 @@
         self._has_called = False
 
     def handle_call(self, generation: int | None, now_s: float) -> None:
-        """Handle a call of the balancer; its generation acknowledges all changes up to this generation."""
+        """Handle a call of the balancer; its generation acknowledges all changes up to that generation."""
         self._has_called = True
         while generation is not None and self._pending and self._pending[0][0] <= generation:
             _, released_s = self._pending.popleft()
             self._series.count_acknowledged(now_s - released_s)
 
     def track_release(self, generation: int, now_s: float) -> None:
-        """Track a released change; before the balancer's first call, count it as superseded."""
+        """Track a released change, or count it as superseded if the balancer has not called yet."""
         self._series.count_released()
         if self._has_called:
             self._pending.append((generation, now_s))
--- a/emulator/fleet/discovery_transfers.py
+++ b/emulator/fleet/discovery_transfers.py
@@ -1,8 +1,8 @@
 """Sends full lists to a few balancers at a time.
 
 Each agent of a real fleet runs on its own machine. In the emulator all agents and many balancers share a few
-processes. If all balancers ask for the full list at once, a list of a megabyte for each would arrive too late
-everywhere: all calls would time out, and all balancers would ask again.
+processes. If all balancers ask for the full list at once and all are answered at once, each with a list of a
+megabyte, every list arrives too late: all calls time out, and all balancers ask again.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
         self._start_next()
 
     def finish(self, receiver: Receiver) -> None:
-        """Free the slot of a receiver that has called again or disconnected; drop its waiting response."""
+        """Free the slot of a receiver that called again or disconnected, and drop its waiting response."""
         self._waiting.pop(receiver, None)
         if self._active.pop(receiver, None) is not None:
             self._start_next()
--- a/emulator/fleet/hollow.py
+++ b/emulator/fleet/hollow.py
@@ -37,7 +37,7 @@
 
 # As in the driver of a real balancer: time kept of the client's timeout for the way back of the response.
 RETURN_MARGIN_NS = 5_000_000
-# The processor time of one in so many calls to the decision module is measured and multiplied by this number.
+# One in so many calls to the decision module is measured; its processor time counts this many times.
 CPU_SAMPLE_INTERVAL = 16
 
 
@@ -55,11 +55,11 @@
 class OpenTry:
     """A client's try until it has a final answer and all its attempts have ended."""
 
-    name: str
+    name: str  # its request id in the decision module
     client_try: ClientTry
     arrived_at: int
-    deadline: int
-    attempts: list[HollowAttempt | None] = field(default_factory=list)  # None: has ended
+    deadline: int  # time of the latest final answer
+    attempts: list[HollowAttempt | None] = field(default_factory=list)  # None: the attempt has ended
     attempts_in_flight: int = 0
     is_closed: bool = False  # it has its final answer, or the client has disconnected
 
@@ -72,22 +72,22 @@
     open_try: OpenTry
     index: int  # among the attempts of its try
     server_id: int  # the decision module's id of the server
-    server_number: int  # the stand-in's number; -1: not on the list of ready servers
+    server_number: int  # the stand-in's number; -1: the server is not listed as ready
     sent_at: int
-    number: int = -1  # on its connection, set by `Effects.send`
+    number: int = -1  # on its connection to the photo servers, set by `Effects.send`
 
 
 class Effects(Protocol):
     """Carries out the actions of a hollow balancer."""
 
     def send(self, attempt: HollowAttempt, work_us: int, wait_us: int) -> None:
-        """Send an attempt and set its number; the balancer waits at most `wait_us` for the result."""
+        """Send an attempt and set its number; the balancer waits for the result for at most `wait_us`."""
 
     def cancel(self, attempt: HollowAttempt) -> None:
-        """Cancel an attempt; a result that still arrives for it is dropped."""
+        """Cancel an attempt; drop a result that still arrives for it."""
 
     def add_timer(self, at: int, callback: Callable[[int], None]) -> None:
-        """Call back at that time."""
+        """Call `callback` with the current time, once `at` has passed."""
 
     def start_watch(self) -> None:
         """Start a watch of discovery."""
@@ -100,7 +100,7 @@
 
 @dataclass(slots=True)
 class HollowCounts:
-    """Counts of one hollow balancer since they were last taken."""
+    """Counts of one or several hollow balancers since they were last taken."""
 
     attempts: int = 0
     cancels: int = 0
@@ -149,7 +149,7 @@
         self._call_module(now, self._decision_module.on_start)
 
     def stop(self, now: int) -> list[ClientTry]:
-        """Stop at once, as after SIGKILL; returns the tries whose clients lose their connection."""
+        """Stop at once, as by SIGKILL; returns the tries whose clients lose their connection."""
         self.is_stopped = True
         lost_tries = [open_try.client_try for open_try in self._open_tries.values() if not open_try.is_closed]
         for open_try in self._open_tries.values():
@@ -314,7 +314,7 @@
             self.end_attempt(now, attempt, outcome)
 
     def _expire(self, open_try: OpenTry, now: int) -> None:
-        """At the deadline, time out all attempts in flight and fail the try, whatever the module decides."""
+        """At the deadline, time out all attempts in flight and fail the try if it has no final answer."""
         if self.is_stopped:
             return
         for attempt in list(open_try.attempts):
--- a/emulator/fleet/hollow_discovery.py
+++ b/emulator/fleet/hollow_discovery.py
@@ -15,13 +15,13 @@
 from dykeshift.node.listing import ListedServer, ListReader
 from emulator.fleet.contract import Address
 
-NO_SERVER_NUMBER = -1  # of an entry without an address, as its server no longer exists
+NO_SERVER_NUMBER = -1  # number of an entry without an address, whose server no longer exists
 ADDRESSES_PER_OCTET = 254  # loopback addresses of a block that share the third octet
 
 
 @dataclass(frozen=True, slots=True)
 class ListedPhotoServer:
-    """One entry of a server list, with the number of the stand-in photo server that it names."""
+    """One entry of a server list, with the number of the stand-in photo server at its address."""
 
     entry: ServerEntry
     number: int
@@ -88,7 +88,7 @@
         self._watch.start()
 
     async def wait_first_call(self) -> None:
-        """Wait until the first call has ended, whether or not it returned a list."""
+        """Wait until the first call to discovery has ended, with or without a list."""
         await self._watch.call_finished.wait()
 
     def stop(self) -> None:
--- a/emulator/fleet/hollow_host.py
+++ b/emulator/fleet/hollow_host.py
@@ -12,11 +12,11 @@
 from dykeshift.interface import ListKind, Settings
 from emulator.fleet.client_model import NS_PER_S, ClientModel, ClientTry, RequestOutcome, TryOutcome
 from emulator.fleet.contract import Address
-from emulator.fleet.hollow_timers import TimerQueue
 from emulator.fleet.hollow import HollowAttempt, HollowBalancer, HollowCounts
 from emulator.fleet.hollow_discovery import DiscoveryClient, ListedPhotoServer
 from emulator.fleet.hollow_measuring import HollowMeter
 from emulator.fleet.hollow_shards import ShardConnections
+from emulator.fleet.hollow_timers import TimerQueue
 from emulator.fleet.tenant_quota import TokenBucket
 
 READY_TIMEOUT_S = 30.0
@@ -33,7 +33,7 @@
     kinds: tuple[str, ...]
     drain_grace_s: float
     answer_grace_ns: int
-    tenant_quotas: list[float]  # one balancer's part of each tracked tenant's quota
+    tenant_quotas: list[float]  # one balancer's part of each tracked tenant's quota, in requests per second
 
     def pick_running_host(self) -> HollowHost | None:
         """A host whose balancer is running, for a client that retries; None if there is none."""
@@ -56,7 +56,7 @@
         self.number = number
         self.zone = zone
         self.balancer: HollowBalancer | None = None
-        self.first_list_received = asyncio.Event()  # stays set over restarts
+        self.first_list_received = asyncio.Event()  # stays set when the balancer is restarted
         self._agent = agent
         self._settings = settings
         self._requests_per_s = requests_per_s
@@ -119,7 +119,7 @@
     # ---- clients ----
 
     def start_arrivals(self, at: int) -> None:
-        """Start the arrival of requests at that time."""
+        """Let requests arrive from the time `at` on."""
         if self._requests_per_s:
             self._next_arrival = at + self.shared.model.draw_interarrival_ns(self._requests_per_s)
             self.shared.timers.add(self._next_arrival, self._arrive)
@@ -181,7 +181,7 @@
         self.shared.shards.connection_for(attempt).cancel(attempt)
 
     def add_timer(self, at: int, callback: Callable[[int], None]) -> None:
-        """Call back at that time."""
+        """Call `callback` with the current time, once `at` has passed."""
         self.shared.timers.add(at, callback)
 
     def start_watch(self) -> None:
@@ -192,7 +192,7 @@
     def on_final_answer(
         self, now: int, client_try: ClientTry, outcome: TryOutcome, unloaded_us: int, retry_after_ns: int
     ) -> None:
-        """End the client's try, as NO_ANSWER if the client's timeout and the answer grace are over."""
+        """End the client's try, with NO_ANSWER if the client's timeout and the answer grace are over."""
         has_timed_out = now > client_try.sent_at + client_try.timeout_ns + self.shared.answer_grace_ns
         if has_timed_out:
             outcome = TryOutcome.NO_ANSWER
--- a/emulator/fleet/hollow_measuring.py
+++ b/emulator/fleet/hollow_measuring.py
@@ -1,4 +1,4 @@
-"""Counts of one hollow worker between two measures."""
+"""Counts and latencies of one hollow worker between two measures."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 
 
 class HollowMeter:
-    """Counts requests and balancers' work of a worker, for a measure once a second."""
+    """Counts the requests of a worker and the work of its balancers, for one measure per second."""
 
     def __init__(self, tenants: int) -> None:
         self.counts = RequestCounts()
-        self.balancer_counts = HollowCounts()  # of stopped balancers until the measure is taken
+        # Of stopped balancers; those of running balancers are added when the measure is taken.
+        self.balancer_counts = HollowCounts()
         self._tenants = tenants
         self._added = LatencyRecorder()
         self._lag = LatencyRecorder()
@@ -24,7 +25,7 @@
         self._last_bytes_moved = (0, 0)
 
     def record_arrival(self, lag_ns: int) -> bool:
-        """Record a first try that arrives so much later than due; False if it is too late to be made."""
+        """Record a first try by its lag behind the due time; False if it is too late to be made."""
         self.counts.asked += 1
         self._lag.record_us(lag_ns // 1000)
         missed = lag_ns > MAX_ARRIVAL_LAG_NS
@@ -32,7 +33,7 @@
         return not missed
 
     def count_tenant_request(self, tenant: int, within_quota: bool) -> None:
-        """Count a request of a tracked tenant."""
+        """Count a request of a tracked tenant, and whether it is within the balancer's part of the quota."""
         self._tenant_asked[tenant] += 1
         self._tenant_within[tenant] += within_quota
 
--- a/emulator/fleet/hollow_shards.py
+++ b/emulator/fleet/hollow_shards.py
@@ -44,7 +44,7 @@
         self._attempts.append(Attempt(attempt.number, attempt.server_number, work_us, wait_us, balancer))
 
     def cancel(self, attempt: HollowAttempt) -> None:
-        """Queue the cancellation of an attempt, unless it has ended; drops a result that still arrives."""
+        """Queue the cancellation of an attempt, unless it has ended; drop a result that still arrives."""
         if self._pending.pop(attempt.number, None) is not None:
             self._cancelled.append(attempt.number)
 
@@ -62,15 +62,15 @@
             self._transport.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Protocol callback."""
+        """Callback of asyncio.Protocol."""
         self._transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Protocol callback."""
+        """Callback of asyncio.Protocol."""
         self.is_lost = True
 
     def data_received(self, data: bytes) -> None:
-        """Protocol callback: report each result whose attempt has not been cancelled."""
+        """Callback of asyncio.Protocol: report each result whose attempt has not been cancelled."""
         self.bytes_received += len(data)
         self._buffer += data
         for body in split_frames(self._buffer):
--- a/emulator/fleet/hollow_timers.py
+++ b/emulator/fleet/hollow_timers.py
@@ -1,4 +1,4 @@
-"""Timers of one process in a heap, run by the owner of the clock."""
+"""Timers of one process in a heap, run by the owner of the clock. Times are in nanoseconds."""
 
 from __future__ import annotations
 
--- a/emulator/fleet/hollow_worker.py
+++ b/emulator/fleet/hollow_worker.py
@@ -16,12 +16,12 @@
 from dykeshift.settings import parse_settings
 from emulator.fleet.client_model import NS_PER_S, ClientModel, balancer_requests_per_s
 from emulator.fleet.contract import Result
-from emulator.fleet.hollow_timers import TimerQueue
 from emulator.fleet.hollow import HollowAttempt
 from emulator.fleet.hollow_host import HollowHost
 from emulator.fleet.hollow_measuring import HollowMeter
 from emulator.fleet.hollow_shards import ShardConnections
-from emulator.fleet.process import ScenarioClock, FleetContext, run_child, print_message
+from emulator.fleet.hollow_timers import TimerQueue
+from emulator.fleet.process import FleetContext, ScenarioClock, print_message, run_child
 from emulator.fleet.scenario import Scenario
 from emulator.fleet.settings_for_balancers import build_settings
 from emulator.fleet.tenant_quota import MAX_TRACKED_TENANTS, tracked_tenant_count
@@ -32,14 +32,13 @@
 )
 
 ROLE = "hollow"
-FLUSH_INTERVAL_S = 0.002  # between two flushes of the batches
-FIRST_LIST_TIMEOUT_S = 1.0  # for one balancer, before the scenario starts
-MAX_TIMER_RUN_NS = 5_000_000  # of timers in one go, before the event loop serves the sockets again
+FLUSH_INTERVAL_S = 0.002  # between two flushes of the batches to the photo servers
+FIRST_LIST_TIMEOUT_S = 1.0  # wait for the first list of one balancer, before the scenario starts
+MAX_TIMER_RUN_NS = 5_000_000  # due timers run for at most this long before the sockets are served again
 MAX_CONCURRENT_STARTS = 1  # of balancers, as they share the core of the process
 # A full garbage collection walks the server lists of all balancers of the process, so it has to be rare.
 GC_THRESHOLDS = 200_000, 20, 100
 
-
 log = structlog.get_logger()
 
 
@@ -101,7 +100,7 @@
         self._run_task(self._run_timers_and_flush())
 
     def start(self, clock: ScenarioClock) -> None:
-        """Start the arrival of requests at the scenario's start."""
+        """Let requests arrive from the scenario's start on."""
         start_ns = time.monotonic_ns() - int(clock.now_s() * NS_PER_S)
         for host in self._hosts:
             host.start_arrivals(start_ns)
@@ -124,9 +123,9 @@
         return self.timers.run_due(time.monotonic_ns, time.monotonic_ns() + MAX_TIMER_RUN_NS)
 
     async def _wait_first_list(self, host: HollowHost) -> None:
-        """Wait for the first list before the next balancer starts.
+        """Wait for a balancer's first list, so that the next one starts after it.
 
-        The sweeps of balancers that already have a list would otherwise delay reading the other lists.
+        The periodic sweeps of balancers that have a list would otherwise delay reading the lists of others.
         """
         try:
             async with asyncio.timeout(FIRST_LIST_TIMEOUT_S):
@@ -178,7 +177,7 @@
         )
 
     def _unloaded_time_us(self, zone: int, attempt: HollowAttempt) -> int:
-        """How long the attempt takes on an idle, warm server: its work and the network delay both ways."""
+        """Time that the attempt takes on an idle, warm server: its work and the network delay both ways."""
         place = self._layout.servers[attempt.server_number]
         work_us = attempt.open_try.client_try.request.work_us
         return int(work_us / place.speed + 2e6 * self._layout.delays_s[zone][place.zone])
@@ -186,7 +185,7 @@
     # ---- measures ----
 
     def measure(self, at_s: float) -> None:
-        """Print the measure since the last call."""
+        """Print the measures since the last call."""
         running = [host.balancer for host in self._hosts if host.balancer is not None]
         for balancer in running:
             self.meter.balancer_counts.add(balancer.take_counts())
@@ -196,7 +195,7 @@
 
 
 def _split_quotas(settings: Settings, scenario: Scenario) -> list[float]:
-    """Each balancer's equal part of the tracked tenants' quotas, by rank; 0 for a tenant without a quota."""
+    """One balancer's equal part of each tracked tenant's quota, by rank; 0 for a tenant without a quota."""
     quotas = [
         share / scenario.balancers.total for share in settings.tenant_quotas_per_s[:MAX_TRACKED_TENANTS]
     ]
--- a/emulator/fleet/http_client.py
+++ b/emulator/fleet/http_client.py
@@ -115,7 +115,7 @@
         self._idle: list[HttpClientConnection] = []
 
     async def acquire(self) -> HttpClientConnection:
-        """An idle connection or a new one; OSError if a new one fails."""
+        """An idle connection or a new one; raises OSError if the new one fails."""
         while self._idle:
             connection = self._idle.pop()
             if connection.is_usable:
--- a/emulator/fleet/layout.py
+++ b/emulator/fleet/layout.py
@@ -1,4 +1,4 @@
-"""The place of each member of a fleet: pure functions of scenario and seed, equal in every process."""
+"""The place of each server and balancer: pure functions of scenario and seed, equal in every process."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from emulator.fleet.apportion import apportion, interleave
 from emulator.fleet.scenario import Scenario, Zone
 
-SPEED_STREAM = 1  # separates this random stream from others with the same seed
+SPEED_STREAM = 1  # random stream of the cores' speeds, separate from other streams with the same seed
 S_PER_MS = 1e-3
 
 
@@ -84,7 +84,7 @@
 
 
 def instance_id(number: int, replacements: int) -> str:
-    """Instance id in discovery of a server whose machine has been replaced so many times."""
+    """Instance id in discovery of a server whose machine has been replaced `replacements` times."""
     return f"s-{number:05d}-{replacements}"
 
 
--- a/emulator/fleet/managed_child.py
+++ b/emulator/fleet/managed_child.py
@@ -13,15 +13,14 @@
 from emulator.fleet.contract import ProcessConfig, Ready, Start
 from emulator.fleet.process_logs import ProcessLog
 
-
 MAX_LINE_BYTES = 16 * 1024 * 1024  # of one line of measures
-STOP_TIMEOUT_S = 5.0  # from closing its standard input until it is killed
+STOP_TIMEOUT_S = 5.0  # from the end of its standard input until it is killed
 
 OnLine = Callable[["ManagedChild", bytes], None]
 
 
 class ManagedChild:
-    """A process that follows `contract`: configuration, Ready, Start, measures, end of standard input."""
+    """A process that follows `emulator.fleet.contract`, from its configuration to the end of its input."""
 
     def __init__(self, role: str, module: str, config: ProcessConfig, folder: Path, on_line: OnLine) -> None:
         self.role = role
--- a/emulator/fleet/measures.py
+++ b/emulator/fleet/measures.py
@@ -44,9 +44,9 @@
     open_tries: int
     added: LatencySummary  # response time less the server's service time and the network delay
     lag: LatencySummary  # lateness of arrivals behind their due times
-    tenant_asked: list[int]  # by rank
+    tenant_asked: list[int]  # requests of each tracked tenant, by rank
     tenant_within_split: list[int]  # of these, within the tenant's quota divided evenly among the balancers
-    ready_ms: list[float]  # of each balancer that became ready: from when its start began to its first list
+    ready_ms: list[float]  # duration of each balancer's start, until its first call to discovery has ended
     ready_wait_ms: list[float]  # of the same balancers: wait until this process began their start
     bytes_sent: int
     bytes_received: int
--- a/emulator/fleet/photo_server.py
+++ b/emulator/fleet/photo_server.py
@@ -26,7 +26,7 @@
     RUNNING = enum.auto()
     DRAINING = enum.auto()  # finishes its requests, accepts no new ones
     STOPPED = enum.auto()  # refuses connections
-    UNREACHABLE = enum.auto()  # does not respond: its machine is lost
+    UNREACHABLE = enum.auto()  # does not respond, as its machine is lost
     CRASHED = enum.auto()  # by overload while cold; stays down until it is started again
 
 
@@ -36,7 +36,7 @@
 
 
 class ServerJob:
-    """An attempt at a server, from its arrival to its end."""
+    """An attempt at a server, from its arrival to its end; times are in seconds of the scenario."""
 
     __slots__ = (
         "server",
@@ -72,7 +72,7 @@
         self.started_s = 0.0
         self.remaining_work_s = 0.0  # of a job on a core, at `remaining_as_of_s`
         self.remaining_as_of_s = 0.0
-        self.finish_version = 0  # number of times its finish was scheduled; only the last is valid
+        self.finish_version = 0  # how often its finish was scheduled; only the last one is valid
 
 
 class FinishScheduler(Protocol):
@@ -89,7 +89,7 @@
 
     def __init__(self) -> None:
         self.work_s = 0.0  # finished, on a core of speed 1
-        self.wasted_work_s = 0.0  # of this, for attempts cancelled or timed out
+        self.wasted_work_s = 0.0  # part of it, for attempts that were cancelled or timed out
         self.dropped = 0  # attempts cancelled or timed out before they reached a core
         self.crashes: list[OverloadCrash] = []
 
@@ -231,7 +231,7 @@
         self._recent_work_s = 0.0
 
     def slow_down(self, now_s: float, factor: float) -> None:
-        """Process requests slower by a factor from now on; 1 is the normal speed."""
+        """Process requests slower by `factor` from now on; 1 is the normal speed."""
         self._update_remaining_work(now_s)
         self._slow_factor = factor
         self._reschedule_finishes(now_s)
@@ -269,7 +269,8 @@
     def overload_budget(self, now_s: float) -> float:
         """Requests of mean work that a cold server can take within the window without a crash.
 
-        These are N = capacity * multiple, plus 2 * sqrt(N) + 2 as tolerance for random variation.
+        These are the N requests that a multiple of its current capacity processes within the window, and
+        2 * sqrt(N) + 2 more as tolerance for random variation.
         """
         capacity = self.place.cores * self.place.speed * self.warm_capacity_share(now_s) / self._slow_factor
         sustained = self._cold.overload_multiple * capacity * self._cold.overload_window_s / self._mean_work_s
@@ -278,7 +279,7 @@
     # ---- internal ----
 
     def _record_cold_arrival(self, now_s: float, job: ServerJob) -> bool:
-        """Record an arrival at a cold server; return whether the server crashes by it."""
+        """Record an arrival at a cold server; return whether it makes the server crash."""
         window = self._recent_arrivals
         while window and window[0][0] <= now_s - self._cold.overload_window_s:
             self._recent_work_s -= window.popleft()[1]
@@ -331,7 +332,7 @@
                 self._schedule_finish(now_s, job)
 
     def _update_remaining_work(self, now_s: float) -> None:
-        """Bring the remaining work of the running jobs up to date."""
+        """Subtract the work done until now from the remaining work of the running jobs."""
         rate = 0.0 if self.is_hung else self.place.speed / self._slow_factor
         for job in self._running:
             done_s = rate * self._full_capacity_time(job.remaining_as_of_s, now_s)
@@ -339,7 +340,7 @@
             job.remaining_as_of_s = now_s
 
     def _full_capacity_time(self, begin_s: float, end_s: float) -> float:
-        """Time at full capacity that does as much work as the given interval, with its warm-up."""
+        """Time at full capacity in which as much work is done as in the given interval, with its warm-up."""
         warm_at_s = self._started_s + self._cold.warm_s
         if begin_s >= warm_at_s:
             return end_s - begin_s
@@ -348,7 +349,7 @@
         return mean * (cold_end_s - begin_s) + max(0.0, end_s - warm_at_s)
 
     def _duration_of(self, now_s: float, full_capacity_s: float) -> float:
-        """Duration from now, with the warm-up, that does as much work as the given time at full capacity.
+        """Duration from now, with the warm-up, in which as much work is done as in a time at full capacity.
 
         This is the inverse of `_full_capacity_time`.
         """
--- a/emulator/fleet/photo_server_batch.py
+++ b/emulator/fleet/photo_server_batch.py
@@ -12,7 +12,7 @@
 from emulator.fleet.photo_server_group import PhotoServerGroup, TrackedAttempt
 
 MAX_UNPARSED_BYTES = 16 * 1024 * 1024  # of a batch that is still incomplete
-CANCEL_RETENTION_S = 1.0  # time after its timeout for which an attempt is kept, as a cancel may still arrive
+CANCEL_RETENTION_S = 1.0  # an attempt is kept this long after its timeout, as a cancel may still arrive
 
 
 class BatchConnection(asyncio.Protocol):
--- a/emulator/fleet/photo_server_connections.py
+++ b/emulator/fleet/photo_server_connections.py
@@ -58,7 +58,7 @@
         """Return a connection after its attempt has ended; if not `keep`, it is closed."""
         connections = self._by_balancer.get(balancer)
         if connections is None or not connections.in_use:
-            return  # all were closed before the attempt ended
+            return  # all connections were closed before the attempt ended
         connections.in_use -= 1
         connections.last_used_s = now_s
         if keep:
--- a/emulator/fleet/photo_server_group.py
+++ b/emulator/fleet/photo_server_group.py
@@ -1,4 +1,4 @@
-"""The photo servers of one process and the network in front of them, without a clock of its own.
+"""The photo servers of one process and the network in front of them, without a clock of their own.
 
 Arrivals, finishes and returns of attempts are deadlines in one heap. Times are seconds of the scenario.
 """
@@ -21,9 +21,9 @@
 from emulator.fleet.scenario import Scenario
 from emulator.fleet.settings_for_balancers import CONNECT_TIMEOUT_S, DRAIN_GRACE_S, KEEPALIVE_S
 
-SOCKET_MARGIN_S = 0.05  # tolerance on time limits, for delays of the sockets
+SOCKET_MARGIN_S = 0.05  # added to the drain grace, as messages on sockets take time
 MIN_TIMER_DELAY_S = 0.0005  # a response with a shorter network delay is delivered at once
-SWEEP_PARTITIONS = 8  # of the servers; idle connections of one partition are closed each second, in turn
+SWEEP_PARTITIONS = 8  # parts of the servers; idle connections of one part are closed each second, in turn
 
 ARRIVE, FINISH, RETURN = range(3)  # kinds of deadlines
 
@@ -39,7 +39,7 @@
 
 
 class TrackedAttempt(ServerJob):
-    """An attempt from its sending, over its time at the server, to the return of its result."""
+    """An attempt from its start at the balancer until its result has returned to the balancer."""
 
     __slots__ = (
         "receiver",
@@ -119,7 +119,7 @@
         *,
         over_http: bool = False,
     ) -> TrackedAttempt:
-        """Send an attempt now; `receiver` gets its result, unless the attempt is lost or cancelled."""
+        """Send an attempt now; `receiver` gets the result, unless the attempt is lost or cancelled."""
         hosted = self.servers[server]
         attempt = TrackedAttempt(server, balancer, work_s, now_s + wait_s, self._on_job_end)
         attempt.receiver, attempt.number, attempt.over_http = receiver, number, over_http
@@ -139,7 +139,7 @@
         return attempt
 
     def cancel(self, attempt: TrackedAttempt) -> None:
-        """Cancel an attempt: the balancer cancels it or its timeout has passed."""
+        """Cancel an attempt, as the balancer has cancelled it or its timeout has passed."""
         if attempt.outcome is not None or attempt.is_cancelled:
             return
         self.counts.cancelled += not attempt.is_lost
--- a/emulator/fleet/photo_server_http.py
+++ b/emulator/fleet/photo_server_http.py
@@ -74,7 +74,7 @@
             self._server = None
 
     def _open_black_hole(self) -> None:
-        """Listen with the shortest backlog and fill it: the kernel then drops all further connects."""
+        """Listen with the shortest backlog and fill it, so that the kernel drops all further connects."""
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         address = (self._address.host, self._address.port)
@@ -135,21 +135,21 @@
     # ---- callbacks of the parser ----
 
     def on_message_begin(self) -> None:
-        """A request begins. One before the response to the previous request aborts the connection."""
+        """Callback of the parser: abort the connection if the previous request has no response yet."""
         if self._attempt is not None:
             self.abort()
         self._target, self._headers = b"", {}
 
     def on_url(self, url: bytes) -> None:
-        """Part of the request target."""
+        """Callback of the parser."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A request header."""
+        """Callback of the parser."""
         self._headers[name.lower()] = value
 
     def on_message_complete(self) -> None:
-        """The request is complete: submit it to the photo server."""
+        """Callback of the parser: submit the complete request to the photo server."""
         if self._transport is None or self._attempt is not None:
             return
         if b"x-request-id" not in self._headers:
--- a/emulator/fleet/photo_server_measures.py
+++ b/emulator/fleet/photo_server_measures.py
@@ -30,10 +30,10 @@
     connect_failed: int = 0
     reset: int = 0
     cancelled: int = 0  # by the balancer, or timed out there
-    lost: int = 0  # sent to a server whose machine is lost or that is split off
+    lost: int = 0  # without a result, as the server's machine is lost or the server is in a split-off region
     after_drain_told: int = 0  # sent more than a grace period after the balancer was informed of a drain
     work_s: float = 0.0  # finished, on a core of speed 1
-    wasted_work_s: float = 0.0  # of this, for attempts cancelled or timed out
+    wasted_work_s: float = 0.0  # part of it, for attempts that were cancelled or timed out
     dropped: int = 0  # cancelled or timed out before they reached a core
     http: int = 0  # received over HTTP
 
@@ -51,7 +51,7 @@
     connections: int
     most_connections: int  # at one server, since the start of the run
     falls: tuple[FallMeasure, ...]
-    late_ms: float  # greatest lateness of the process behind its own deadlines
+    late_ms: float  # maximal delay with which the process ran its own deadlines
 
 
 class PhotoServersTotal(msgspec.Struct, frozen=True, tag=True):
--- a/emulator/fleet/photo_server_process.py
+++ b/emulator/fleet/photo_server_process.py
@@ -56,7 +56,7 @@
         )
 
     def start(self, clock: ScenarioClock) -> None:
-        """Start to process deadlines."""
+        """Start processing deadlines."""
         self.clock = clock
         self.deadline_timer = DeadlineTimer(asyncio.get_running_loop(), clock.now_s, self)
         self.deadline_timer.rearm()
@@ -86,7 +86,7 @@
         self._publish_results()
 
     def measure(self, at_s: float) -> None:
-        """Print the measures of one second."""
+        """Print the measures since the last call."""
         for connection in self.batch_connections:
             connection.forget_expired(at_s)
         print_message(self.group.take_second(at_s))
--- a/emulator/fleet/process.py
+++ b/emulator/fleet/process.py
@@ -25,7 +25,7 @@
 from emulator.fleet.timeline import Event, build_timeline
 
 MEASURE_PERIOD_S = 1.0
-# Garbage collections may be rare, as hardly any object here is in a reference cycle.
+# Garbage collections can be rare, as hardly any object of a child process is in a reference cycle.
 GC_THRESHOLDS = (50_000, 20, 100)
 MAX_LINE_BYTES = 1 << 20  # on standard input
 
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetContext:
-    """The fleet as a child builds it from its configuration."""
+    """The fleet as a child process builds it from its configuration."""
 
     config: ProcessConfig
     scenario: Scenario
@@ -74,7 +74,7 @@
         """Open all listening sockets, and all connections that are needed before the start."""
 
     def start(self, clock: ScenarioClock) -> None:
-        """Start; the time of the scenario's start is known now."""
+        """Start the role's work; `clock` has the time of the scenario's start."""
 
     def apply(self, event: Event) -> None:
         """Apply one event of the timeline, at its time."""
@@ -121,7 +121,7 @@
 
 
 class _MeasureTimer:
-    """Asks the role for its measures once a second of the scenario."""
+    """Asks the role for its measures once per second of the scenario."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: ScenarioClock, child: ChildRole) -> None:
         self._loop = loop
@@ -176,7 +176,7 @@
     measure_timer = _MeasureTimer(loop, clock, child)
     measure_timer.schedule()
     while await lines.readline():
-        pass  # no further messages are expected; the end of the input is the signal to stop
+        pass  # no further messages are expected; the child stops at the end of the input
     measure_timer.stop()
     child.finish()
 
@@ -188,7 +188,7 @@
 
 
 async def _read_message(lines: asyncio.StreamReader, kind: type[Message]) -> Message | None:
-    """The next line as a message of that kind; None at the end of the input.
+    """Read the next line as a message of this type; None at the end of the input.
 
     Raises BadInputError if the line is not such a message.
     """
--- a/emulator/fleet/process_logs.py
+++ b/emulator/fleet/process_logs.py
@@ -1,4 +1,4 @@
-"""The log file of one process: its size is bounded, its growth is measured, its last lines can be read."""
+"""The log file of one process: bounds its size, measures its growth and reads its last lines."""
 
 from __future__ import annotations
 
--- a/emulator/fleet/real_balancers.py
+++ b/emulator/fleet/real_balancers.py
@@ -17,13 +17,13 @@
 from emulator.fleet.layout import Layout
 from emulator.fleet.process_logs import ProcessLog
 from emulator.fleet.scenario import Scenario
-from emulator.fleet.settings_for_balancers import format_host_port, build_node_config
+from emulator.fleet.settings_for_balancers import build_node_config, format_host_port
 
 ROLE = "balancer"
 READY_TIMEOUT_S = 60.0
 READY_POLL_INTERVAL_S = 0.05  # between two requests for /ready
 STOP_TIMEOUT_S = 10.0
-PR_SET_PDEATHSIG = 1  # option of prctl(2)
+PR_SET_PDEATHSIG = 1  # option of prctl(2): signal that a process gets when its parent dies
 
 _libc = ctypes.CDLL(None, use_errno=True)
 
@@ -35,7 +35,7 @@
 def _set_parent_death_signal() -> None:
     """Have the kernel kill the balancer when the supervisor dies; runs in the child before exec.
 
-    The balancer does not read a standard input whose end would stop it.
+    Unlike the Python child processes, a balancer does not stop at the end of its standard input.
     """
     _libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
--- a/emulator/fleet/report.py
+++ b/emulator/fleet/report.py
@@ -13,8 +13,8 @@
 
 SUMMARY_FILE = "summary.json"
 US_PER_MS = 1e3
-# The time that the added latency is measured against. For an attempt of a hollow balancer only its work is
-# known, not the time that it spent at the server.
+# The part of the response time that is not added latency. For an attempt of a hollow balancer only its work
+# is known, not the time that it spent at the server.
 LATENCY_BASE_BY_KIND = {"hollow": "an idle server's time", "real": "the time at the server"}
 
 Row = tuple[str, str]  # name and value
--- a/emulator/fleet/scenario.py
+++ b/emulator/fleet/scenario.py
@@ -67,18 +67,18 @@
 
     count: Annotated[int, Field(ge=1, le=64_000)]
     kinds: Annotated[tuple[ServerKind, ...], Field(min_length=1)]
-    queue_per_core: Count = 400  # longest queue of waiting requests
+    queue_per_core: Count = 400  # maximal number of waiting requests, per core of a server
     cell_size: AtLeastOne = 4
     rack_size: AtLeastOne = 40
 
 
 class ColdStart(ScenarioModel):
-    """How a server warms up after its start, and which overload makes it crash meanwhile."""
+    """How a server warms up after its start, and by which overload it crashes until it is warm."""
 
     from_share: Annotated[float, Field(gt=0, le=1)]  # share of its capacity at its start
     warm_s: Positive
-    overload_multiple: Positive  # of its capacity at that time
-    overload_window_s: Positive
+    overload_multiple: Positive  # it crashes by more work than this multiple of its current capacity
+    overload_window_s: Positive  # time over which this work is summed up
 
 
 class Balancers(ScenarioModel):
@@ -87,6 +87,7 @@
     total: Annotated[int, Field(ge=1, le=64_000)]
     real: Count  # numbers 0 to real - 1, spread over the zones
     hollow_workers: Count  # processes that share the hollow balancers
+    # The limits that each balancer is configured with.
     cores: Positive = 1.0
     memory_mb: Positive = 192.0
     sockets: AtLeastOne = 1024
@@ -99,9 +100,9 @@
     share: Share
     work_ms: Positive  # mean processor time on a core of speed 1
     work_cv: NonNegative = 1.0  # coefficient of variation; the distribution is lognormal
-    aim_ms: Positive
-    deadline_ms: Positive
-    worth: Positive
+    aim_ms: Positive  # latency target: an answer within this time earns the full worth
+    deadline_ms: Positive  # how long a client waits in total, over all its tries
+    worth: Positive  # of one request answered within its latency target
     idempotency: Literal["safe", "keyed", "unsafe"]
     scope: Literal["all", "zone", "cell"] = "all"
     window_ms: NonNegative = 0.0  # how long servers drop repeats of a keyed request
@@ -114,15 +115,15 @@
     zipf_exponent: NonNegative
     quota_factor: Positive = 1.2  # a tenant's quota as a multiple of its mean rate
     in_settings: Count | None = None  # how many tenants, by rank, the settings name; None: all
-    over_share_worth: Share = 0.2
+    over_share_worth: Share = 0.2  # share of the worth that a request beyond its tenant's quota has
 
 
 class Clients(ScenarioModel):
     """How clients behave."""
 
-    retries: Count
+    retries: Count  # maximal number per request
     try_share: Annotated[float, Field(gt=0, le=1)]  # timeout of one try, as a share of the deadline
-    backoff_ms: NonNegative
+    backoff_ms: NonNegative  # mean wait before a retry
     honour_retry_after: Share  # share of the clients that respect Retry-After
     leaving_share: Share = 0.0  # share of the requests whose client disconnects before the answer
 
@@ -139,9 +140,9 @@
     """How long discovery takes to publish a change."""
 
     lag_s: NonNegative  # from a planned change to its arrival at the replica of its region
-    cross_region_lag_s: NonNegative  # in addition, for the other regions
-    failure_notice_s: NonNegative  # in addition, until the disappearance of a server is noticed
-    spread_s: NonNegative  # maximal delay in addition; each agent draws its own once, from 0 to this
+    cross_region_lag_s: NonNegative  # additional lag of the replicas of the other regions
+    failure_notice_s: NonNegative  # additional lag until it is noticed that a server has become unreachable
+    spread_s: NonNegative  # maximal additional lag of an agent; each agent draws its own once
     period_s: Positive  # changes within this time are published together
 
 
@@ -150,7 +151,7 @@
 
     machine_failures_per_day: NonNegative = 0.0
     restarts_per_day: NonNegative = 0.0  # planned restarts, with a drain
-    replaced_share: Share = 0.5  # share of the restarts that bring a new machine
+    replaced_share: Share = 0.5  # share of the restarts after which the server runs on a new machine
     drain_s: NonNegative = 3.0
     down_s: NonNegative = 3.0  # from a planned stop until the cold start
     repair_s: NonNegative = 30.0  # from a machine failure until its replacement starts
--- a/emulator/fleet/scenario_events.py
+++ b/emulator/fleet/scenario_events.py
@@ -20,7 +20,7 @@
 
 
 class ScriptedEvent(ScenarioModel):
-    """What all scripted events share."""
+    """Base of the scripted events."""
 
     at_s: NonNegative
 
@@ -74,7 +74,7 @@
 
 
 class RegionSplit(LastingEvent):
-    """Two regions cannot reach each other; discovery of each misses the changes of the other."""
+    """Two regions cannot reach each other; the discovery of each misses the changes of the other."""
 
     kind: Literal["region_split"]
     regions: Annotated[tuple[str, ...], Field(min_length=2, max_length=2)]
@@ -98,7 +98,7 @@
 
 
 class DiscoveryOutage(LastingEvent):
-    """Discovery's agents do not respond; they publish the missed changes at its end."""
+    """Discovery's agents do not respond; at the end of the outage they publish the missed changes."""
 
     kind: Literal["discovery_outage"]
     region: str | None = None  # None: in all regions
@@ -112,7 +112,7 @@
 
 
 class ListChanges(LastingEvent):
-    """Periodic list changes: with each, some servers drain and those drained before start again."""
+    """Periodic list changes: at each, some servers drain, and those of the previous change start again."""
 
     kind: Literal["list_changes"]
     every_s: Positive
--- a/emulator/fleet/settings_for_balancers.py
+++ b/emulator/fleet/settings_for_balancers.py
@@ -21,7 +21,7 @@
 MAX_RETRY_AFTER_S = 2.0
 MAX_HELD_REQUESTS = 20_000
 MAX_CPU_US_PER_S = 8_000
-LOAD_REPORT_FIELDS = ("busy_reqs", "svc_ms")
+LOAD_REPORT_FIELDS = ("busy_reqs", "svc_ms")  # requests in flight; recent service time in ms
 
 IDEMPOTENCY_SETTINGS = {"safe": "pure", "keyed": "token", "unsafe": "side_effect"}
 
--- a/emulator/fleet/stand_in_figures.py
+++ b/emulator/fleet/stand_in_figures.py
@@ -19,7 +19,7 @@
 
 DISCOVERY_ROLE = "discovery"
 PHOTO_SERVERS_ROLE = "photo_servers"
-RECOVERY_TIME_S = 5.0  # after the end of a disturbance; changes in it do not count as calm
+RECOVERY_TIME_S = 5.0  # the seconds until this time after a disturbance do not count as calm
 
 # Events that begin and end a disturbance, in which discovery cannot reach all balancers.
 _DISTURBANCE_BEGINS = DiscoverySilenced | WatchesSilenced | RegionsSplit | BalancersStopped
@@ -30,11 +30,11 @@
     """Time from a change's release at discovery until a balancer acknowledges it; None if not measured."""
 
     acknowledged: int
-    pending: int  # at the end
+    pending: int  # changes not acknowledged at the end of the run
     p50_s: float | None
     p99_s: float | None
     max_s: float | None
-    calm_p99_s: float | None  # of the worst second without a disturbance
+    calm_p99_s: float | None  # p99 of the worst second without a disturbance
 
 
 class ServerFigures(msgspec.Struct, frozen=True):
--- a/emulator/fleet/summary.py
+++ b/emulator/fleet/summary.py
@@ -17,8 +17,8 @@
     DISCOVERY_ROLE,
     ChangeInForce,
     ServerFigures,
-    summarize_changes,
     mean_discovery_bytes_per_s,
+    summarize_changes,
     summarize_servers,
 )
 from emulator.fleet.tenant_quota import TokenBucket, tracked_tenant_count
@@ -30,17 +30,17 @@
 MEMORY_BAR_MB = 32.0
 DISCOVERY_BYTES_PER_S_BAR = 4000.0
 ADDED_LATENCY_BAR_MS = 6.8
-MIN_CARRIED_SHARE = 0.97  # of the scenario's requests; with less, the machine was too slow for the scenario
-# p99 of how late requests start after their arrival was due; with more, the latencies include delays of the
+MIN_CARRIED_SHARE = 0.97  # of the scenario's requests; with less, this machine was too slow for the scenario
+# Of the time from when a request is due until it starts; with more, the latencies include delays of this
 # machine.
-MAX_ARRIVAL_LAG_MS = 20.0
+MAX_P99_ARRIVAL_LAG_MS = 20.0
 
 
 class RequestFigures(msgspec.Struct, frozen=True):
     """Requests of the whole run, at the hollow or at the real balancers."""
 
     asked_per_s: float  # requested by the scenario
-    carried_per_s: float  # of these, started in time; the machine was too slow for the others
+    carried_per_s: float  # those of them that started in time; this machine was too slow for the others
     ended: dict[str, int]
     tries_per_request: float
     added: LatencySummary
@@ -55,19 +55,16 @@
     not_sent_per_request: float
     cpu_us_per_request: float
     log_bytes_per_s: float  # of one balancer
-    resident_mb_per_balancer: float | None  # memory of a worker, divided by its balancers
+    resident_mb_per_balancer: float | None  # a worker's whole memory, divided by its number of balancers
 
 
 class TenantFigures(msgspec.Struct, frozen=True):
-    """Requests of the tracked tenants, and how many of them are within the tenants' quotas.
-
-    The quotas are split evenly over the balancers, or kept for the whole fleet.
-    """
+    """Requests of the tracked tenants, and how many of them are within the tenants' quotas."""
 
-    followed: int
-    asked: int
-    within_split: int
-    within_fleet: int
+    followed: int  # number of tracked tenants
+    asked: int  # requests
+    within_split: int  # with each quota split evenly over the balancers
+    within_fleet: int  # with each quota kept for the whole fleet
 
 
 class ReadyFigures(msgspec.Struct, frozen=True):
@@ -80,7 +77,7 @@
 
 
 class RoleFigures(msgspec.Struct, frozen=True):
-    """Resources used by the processes of one role: the mean of a process and the maximum of all."""
+    """Resources used by the processes of one role: means over the processes, and the maximum of all."""
 
     processes: int
     cpu_share: float
@@ -115,7 +112,7 @@
     starting_s: float
     time_compression: float
     interrupted: bool
-    dead: list[str]
+    dead: list[str]  # names of the processes that failed
     notes: list[str]  # reasons why the figures may be unreliable
     change: ChangeInForce
     hollow: RequestFigures | None
@@ -212,8 +209,10 @@
         carried, asked, lag_ms = figures.carried_per_s, figures.asked_per_s, figures.lag.p99_us / 1e3
         if carried < MIN_CARRIED_SHARE * asked:
             notes.append(f"{name}: this machine carried {carried:.0f} of {asked:.0f} requests a second")
-        if lag_ms > MAX_ARRIVAL_LAG_MS:
-            notes.append(f"{name}: arrivals were taken late, p99 {lag_ms:.0f} ms: latencies show it too")
+        if lag_ms > MAX_P99_ARRIVAL_LAG_MS:
+            notes.append(
+                f"{name}: requests started late, p99 {lag_ms:.0f} ms: latencies include this machine's delays"
+            )
     return notes
 
 
@@ -247,7 +246,7 @@
 
 
 def _count_within_fleet(record: RunRecord) -> int:
-    """Requests that quotas kept over all hollow balancers would admit, computed in steps of one second."""
+    """Requests that quotas kept for all hollow balancers together would admit, in steps of one second."""
     layout = build_layout(record.scenario, record.seed)
     settings = build_settings(record.scenario, layout, 0)
     total = record.scenario.balancers.total
--- a/emulator/fleet/supervisor.py
+++ b/emulator/fleet/supervisor.py
@@ -79,7 +79,7 @@
     # ---- start ----
 
     async def _start_all(self) -> bool:
-        """Start all processes; False if the run was interrupted or a process failed meanwhile."""
+        """Start all processes; returns False if the run was interrupted or a process failed meanwhile."""
         watch = asyncio.create_task(self._watch_for_failures())
         starting = asyncio.create_task(self._start_in_order())
         stopped = asyncio.create_task(self._stop_event.wait())
@@ -92,7 +92,7 @@
             try:
                 starting.result()
             except (NotReadyError, EOFError, OSError) as error:
-                # Lets the exit code of a child that died become known, so that it is reported by name.
+                # Wait until the exit code of a child that died is known, so that it is reported by name.
                 await asyncio.sleep(FAILURE_POLL_INTERVAL_S)
                 self._record_failures()
                 if not self.record.failed_processes:
--- a/emulator/fleet/tenant_quota.py
+++ b/emulator/fleet/tenant_quota.py
@@ -5,7 +5,7 @@
 from emulator.fleet.scenario import Scenario
 
 MAX_TRACKED_TENANTS = 500  # those with the largest traffic shares; the others are not counted per tenant
-BURST_S = 3.0  # unused quota is kept for this long
+BURST_S = 3.0  # a bucket holds the unused quota of at most this time
 
 
 class TokenBucket:
--- a/emulator/fleet/timeline.py
+++ b/emulator/fleet/timeline.py
@@ -15,8 +15,8 @@
 from emulator.fleet.layout import Layout, build_layout
 from emulator.fleet.scenario import SECONDS_PER_DAY, Scenario
 
-MAX_DRAWS_PER_SERVER = 50  # of a random server, until one is found that no other event concerns then
-# Draws of more than one in so many candidates choose among all free candidates instead.
+MAX_DRAWS_PER_SERVER = 50  # random picks, at most, to find a server without an overlapping event
+# To draw more than one in so many candidates, the free candidates are listed first and drawn from.
 CANDIDATES_PER_DRAWN_SERVER = 20
 
 
@@ -27,7 +27,7 @@
 
 
 class ServersDrained(Event, frozen=True):
-    """The servers finish open requests and should get no new ones; discovery lists them as leaving."""
+    """The servers finish their open requests and should get no new ones; discovery lists them as leaving."""
 
     servers: tuple[int, ...]
 
@@ -130,7 +130,7 @@
 
 
 class _Occupancy:
-    """Times at which events concern each server, so that drawn servers have no overlapping events."""
+    """Times during which each server has an event, so that random events of a server do not overlap."""
 
     def __init__(self) -> None:
         self._spans: dict[int, list[tuple[float, float]]] = {}
@@ -300,7 +300,7 @@
     def _draw_servers(
         self, random: Random, count: int, zone: str | None, begin_s: float, end_s: float
     ) -> list[int]:
-        """Draw and reserve up to `count` servers that no other event concerns within the time."""
+        """Draw and reserve up to `count` servers that have no other event from `begin_s` to `end_s`."""
         candidates = self._candidates(zone)
         if not candidates:
             return []
--- a/tests/emulator/fleet_fakes.py
+++ b/tests/emulator/fleet_fakes.py
@@ -19,8 +19,8 @@
 from dykeshift.settings import parse_settings
 from emulator.fleet.client_model import ClientModel, ClientTry, TryOutcome
 from emulator.fleet.hollow import HollowAttempt, HollowBalancer
-from emulator.fleet.hollow_timers import TimerQueue
 from emulator.fleet.hollow_discovery import ListedPhotoServer
+from emulator.fleet.hollow_timers import TimerQueue
 from emulator.fleet.layout import build_layout
 from emulator.fleet.scenario import Scenario, load_scenario
 from emulator.fleet.settings_for_balancers import build_settings
@@ -160,7 +160,7 @@
         self.cancelled.append(attempt)
 
     def add_timer(self, at: int, callback: Callable[[int], None]) -> None:
-        """Call back at that time."""
+        """Call `callback` with the simulated time, once `at` has passed."""
         self.timers.add(at, callback)
 
     def start_watch(self) -> None:
@@ -183,7 +183,7 @@
 
 
 class ScriptedModule:
-    """Replaces the decision module: sends each request to all targets and does nothing else."""
+    """Replaces the decision module: sends each request to all target servers and does nothing else."""
 
     def __init__(self, *targets: int) -> None:
         self.targets = targets
--- a/tests/emulator/test_fleet_hollow.py
+++ b/tests/emulator/test_fleet_hollow.py
@@ -10,18 +10,18 @@
 from dykeshift.interface import ListKind, Outcome, ServerState
 from emulator.fleet.client_model import NS_PER_MS, RequestOutcome, TryOutcome
 from emulator.fleet.contract import loopback_address
+from emulator.fleet.derived_scenario import write_quick_scenario
 from emulator.fleet.hollow import HollowAttempt, HollowBalancer
 from emulator.fleet.hollow_discovery import server_number_of
 from emulator.fleet.hollow_measuring import HollowMeter
 from emulator.fleet.latency import LatencyRecorder, merge_summaries
-from emulator.fleet.derived_scenario import write_quick_scenario
 from emulator.fleet.scenario import Scenario, load_scenario
 from emulator.fleet.tenant_quota import TokenBucket
 from emulator.fleet.timeline import build_timeline
 from tests.emulator.fleet_fakes import (
     MS,
-    S,
     FakeEffects,
+    S,
     ScriptedModule,
     listed_server,
     make_balancer,
@@ -38,12 +38,12 @@
 
 
 def fail_some_attempts(attempt: HollowAttempt) -> tuple[int, Outcome] | None:
-    """By the attempt's number: no response, each kind of failure, or a successful response."""
-    bad = {0: None, 1: Outcome.CONNECT_FAILED, 2: Outcome.FULL, 3: Outcome.RESET, 4: Outcome.ERROR}
+    """Time and outcome by the attempt's number: no response, each kind of failure, or a success."""
+    failures = {0: None, 1: Outcome.CONNECT_FAILED, 2: Outcome.FULL, 3: Outcome.RESET, 4: Outcome.ERROR}
     kind = attempt.number % 12
-    if kind not in bad:
+    if kind not in failures:
         return (kind * MS, Outcome.OK)
-    outcome = bad[kind]
+    outcome = failures[kind]
     return None if outcome is None else (2 * MS, outcome)
 
 
--- a/tests/emulator/test_standins.py
+++ b/tests/emulator/test_standins.py
@@ -1,4 +1,4 @@
-"""Stand-in photo servers, simulated and on loopback, and stand-in discovery with the real client."""
+"""Stand-in photo servers, on a simulated clock or on loopback; stand-in discovery with the real client."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 from emulator.fleet.photo_server import PhotoServerState
 from emulator.fleet.photo_server_group import PhotoServerGroup, TrackedAttempt
 from emulator.fleet.photo_server_process import PhotoServerProcess
-from emulator.fleet.process import FleetContext, ScenarioClock, EventScheduler
+from emulator.fleet.process import EventScheduler, FleetContext, ScenarioClock
 from emulator.fleet.scenario import Scenario, load_scenario
 from emulator.free_ports import find_free_ports
 
@@ -143,7 +143,7 @@
 
 
 def test_a_draining_server_finishes_its_requests_and_counts_late_attempts() -> None:
-    # The balancers are informed of the drain at 1.0 to 1.12.
+    # The agents announce the drain to their balancers between 1.0 and 1.12 s; the grace after it is 0.35 s.
     harness = PhotoServerHarness(events.ServersDrained(0.1, (SERVER,)))
     harness.send(0.0)
     harness.group.apply(events.ServersDrained(0.1, (SERVER,)))
@@ -254,7 +254,7 @@
 
 @asynccontextmanager
 async def running(process: DiscoveryProcess | PhotoServerProcess) -> AsyncIterator[ScenarioClock]:
-    """Run a process in this event loop, with its timeline."""
+    """Run a process in this event loop, with the events of its timeline."""
     await process.listen()
     clock = ScenarioClock(time.monotonic_ns())
     process.start(clock)
@@ -268,7 +268,7 @@
 
 
 class DiscoveryListener:
-    """A real discovery client and the lists and failures that it reports."""
+    """A real discovery client, with the lists and failures that it reports."""
 
     def __init__(self, process: DiscoveryProcess, balancer: int) -> None:
         context = process.fleet
@@ -334,14 +334,18 @@
             assert (summary.acknowledged, summary.pending) == (3, 0)
             # The 18 other hollow balancers have not called, so the changes released to them are superseded.
             assert summary.released == summary.superseded + 3 == 19 * 3
-            assert summary.max_ms < 300  # an outage delays the release, not the acknowledgement
+            # The outage delays the release, and the propagation time counts only from the release on.
+            assert summary.max_ms < 300
             assert process.traffic.silent_calls > 0 and process.real_propagation.total.released == 2 * 3
 
     run_with_uvloop(main())
 
 
 def test_changes_that_a_restarted_balancer_missed_are_superseded_not_pending() -> None:
-    """A change that a balancer could not acknowledge before its restart must not stay pending for ever."""
+    """A change that a balancer could not acknowledge before its restart must not stay pending for ever.
+
+    The balancer gets the change with the full list after its restart and never acknowledges it by itself.
+    """
 
     async def main() -> None:
         timeline = (
@@ -384,7 +388,7 @@
 
 
 def test_large_responses_wait_for_slots_and_skip_closed_connections() -> None:
-    """Full lists sent to all balancers at once arrive too late everywhere, and all balancers ask again."""
+    """Full lists sent to all balancers at once would all arrive too late and all be asked for again."""
     timers: list[Callable[[], None]] = []
     transfers = TransferQueue(lambda _, callback: timers.append(callback))
     receivers = [StubReceiver() for _ in range(MAX_CONCURRENT_TRANSFERS + 3)]
@@ -458,7 +462,7 @@
 
 
 def test_sockets_follow_stops_lost_machines_and_starts() -> None:
-    """A stopped server refuses connections, connects to a lost machine time out, and both restart."""
+    """A stopped server refuses connections, connects to a lost machine time out, and both servers restart."""
 
     async def main() -> None:
         timeline = (
--- a/tests/emulator/test_timeline.py
+++ b/tests/emulator/test_timeline.py
@@ -68,7 +68,7 @@
 
 
 def test_events_of_one_server_do_not_overlap() -> None:
-    """Guards against random events that stop a server which another event has already stopped."""
+    """Guards against random events that stop a server that another event has already stopped."""
     target = load_scenario(SCENARIOS / "target.toml")
     down: Counter[int] = Counter()
     for event in build_timeline(target, 1):
