--- a/emulator/fleet/client_model.py
+++ b/emulator/fleet/client_model.py
@@ -44,7 +44,7 @@
     CLIENT_GONE = "left"  # the client disconnected
 
 
-_OUTCOMES_WITHOUT_RESPONSE = {
+_OUTCOMES_IF_NOT_SERVED = {
     TryOutcome.REFUSED: RequestOutcome.REFUSED,
     TryOutcome.FAILED: RequestOutcome.FAILED,
     TryOutcome.CONNECTION_FAILED: RequestOutcome.FAILED,
@@ -135,7 +135,7 @@
     def request_outcome(self, now: int, last: ClientTry, outcome: TryOutcome) -> RequestOutcome:
         """Outcome of a request after its last try."""
         if outcome is not TryOutcome.SERVED:
-            return _OUTCOMES_WITHOUT_RESPONSE[outcome]
+            return _OUTCOMES_IF_NOT_SERVED[outcome]
         request_class, duration = self.classes[last.request.class_index], now - last.request.started_at
         if duration <= request_class.aim_ms * NS_PER_MS:
             return RequestOutcome.IN_TIME
--- a/emulator/fleet/hollow_worker.py
+++ b/emulator/fleet/hollow_worker.py
@@ -97,7 +97,7 @@
             await self._start(host)
             await self._wait_first_list(host)
             self._run_due_timers()
-        self._run_task(self._run_timers_and_flush())
+        self._start_task(self._run_timers_and_flush())
 
     def start(self, clock: ScenarioClock) -> None:
         """Let requests arrive from the scenario's start on."""
@@ -133,7 +133,7 @@
         except TimeoutError:
             log.warning("no server list within the timeout", balancer=host.number)
 
-    def _run_task(self, work: Coroutine[None, None, None]) -> None:
+    def _start_task(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -149,7 +149,7 @@
                     self.meter.balancer_counts.add(host.stop(now))
             case BalancersStarted():
                 for host in self._hosts_of(event.balancers):
-                    self._run_task(self._start(host))
+                    self._start_task(self._start(host))
 
     def _hosts_of(self, balancers: tuple[int, ...]) -> list[HollowHost]:
         return [self.hosts[number] for number in balancers if number in self.hosts]
--- a/emulator/fleet/plots.py
+++ b/emulator/fleet/plots.py
@@ -166,12 +166,14 @@
     seconds: dict[int, dict[str, int]] = defaultdict(lambda: defaultdict(int))
     measures: list[HollowMeasure | ClientMeasure] = [*record.hollow, *record.clients]
     for measure in measures:
-        for end, count in measure.requests.ended.items():
-            seconds[round(measure.at_s)][end] += count
+        for outcome, count in measure.requests.ended.items():
+            seconds[round(measure.at_s)][outcome] += count
     times = sorted(seconds)
     if times:
         axes.stackplot(
-            times, [[seconds[at][end] for at in times] for end in REQUEST_OUTCOMES], labels=REQUEST_OUTCOMES
+            times,
+            [[seconds[at][outcome] for at in times] for outcome in REQUEST_OUTCOMES],
+            labels=REQUEST_OUTCOMES,
         )
     axes.set_ylabel("requests a second, by end")
     _save(figure, [axes], events, record.folder / "requests_by_end.png")
--- a/emulator/fleet/process.py
+++ b/emulator/fleet/process.py
@@ -24,7 +24,7 @@
 from emulator.fleet.scenario import Scenario, load_scenario
 from emulator.fleet.timeline import Event, build_timeline
 
-MEASURE_PERIOD_S = 1.0
+MEASURE_INTERVAL_S = 1.0
 # Garbage collections can be rare, as hardly any object of a child process is in a reference cycle.
 GC_THRESHOLDS = (50_000, 20, 100)
 MAX_LINE_BYTES = 1 << 20  # on standard input
@@ -127,7 +127,7 @@
         self._loop = loop
         self._clock = clock
         self._child = child
-        self._due_s = MEASURE_PERIOD_S
+        self._due_s = MEASURE_INTERVAL_S
         self._timer: asyncio.TimerHandle | None = None
 
     def stop(self) -> None:
@@ -139,7 +139,7 @@
 
     def _measure(self) -> None:
         self._child.measure(self._due_s)
-        self._due_s += MEASURE_PERIOD_S
+        self._due_s += MEASURE_INTERVAL_S
         self.schedule()
 
 
--- a/emulator/fleet/report.py
+++ b/emulator/fleet/report.py
@@ -87,7 +87,10 @@
         f"{figures.asked_per_s:.0f} asked, {figures.carried_per_s:.0f} carried, "
         f"{figures.tries_per_request:.2f} tries each",
     )
-    yield f"{name} requests by end", ", ".join(f"{end} {count}" for end, count in figures.ended.items())
+    yield (
+        f"{name} requests by end",
+        ", ".join(f"{outcome} {count}" for outcome, count in figures.ended.items()),
+    )
     yield (
         f"{name} added latency, beyond {LATENCY_BASE_BY_KIND[name]}",
         _format_latency(figures.added.p50_us, figures.added.p99_us, figures.added.max_us),
--- a/emulator/fleet/summary.py
+++ b/emulator/fleet/summary.py
@@ -189,7 +189,10 @@
         return None
     carried = sum(measure.requests.asked - measure.requests.missed for measure in measures)
     tries = sum(measure.requests.tries for measure in measures)
-    ended = {end: sum(measure.requests.ended.get(end, 0) for measure in measures) for end in REQUEST_OUTCOMES}
+    ended = {
+        outcome: sum(measure.requests.ended.get(outcome, 0) for measure in measures)
+        for outcome in REQUEST_OUTCOMES
+    }
     measured_s = max(measure.at_s for measure in measures)
     return RequestFigures(
         asked_per_s=record.scenario.requests_per_s * share,
--- a/emulator/fleet/supervisor.py
+++ b/emulator/fleet/supervisor.py
@@ -176,7 +176,7 @@
         for child in self._children:
             child.send_start(start)
         timeline = build_timeline(self.scenario, self.record.seed)
-        self._run_task(self._apply_events(start, timeline))
+        self._start_task(self._apply_events(start, timeline))
         end_s, next_s = self.scenario.duration_s, MEASURE_INTERVAL_S
         while not self._stop_event.is_set() and self.record.elapsed_s < end_s:
             wait_s = min(next_s, end_s) - _elapsed_s(start)
@@ -199,7 +199,7 @@
                     balancer.stop(graceful=event.graceful)
             elif isinstance(event, BalancersStarted):
                 for balancer in self._balancers_in(event.balancers):
-                    self._run_task(self._restart(balancer))
+                    self._start_task(self._restart(balancer))
 
     def _balancers_in(self, balancers: tuple[int, ...]) -> list[RealBalancer]:
         return [balancer for balancer in self._balancers if balancer.number in balancers]
@@ -224,7 +224,7 @@
             if measure is not None:
                 self._measures.add(measure)
 
-    def _run_task(self, work: Coroutine[None, None, None]) -> None:
+    def _start_task(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/tests/emulator/test_fleet_hollow.py
+++ b/tests/emulator/test_fleet_hollow.py
@@ -161,10 +161,10 @@
         client_try = model.draw_first_try(0, now)
         request, tries, at = client_try.request, 1, now
         deadline = now + int(scenario.classes[request.class_index].deadline_ms * NS_PER_MS)
-        while (again := model.plan_retry(at, client_try, TryOutcome.REFUSED, 0)) is not None:
-            assert again.sent_at > at and again.is_retry and again.request is request
-            assert again.sent_at + again.timeout_ns <= deadline
-            client_try, tries, at = again, tries + 1, again.sent_at
+        while (retry := model.plan_retry(at, client_try, TryOutcome.REFUSED, 0)) is not None:
+            assert retry.sent_at > at and retry.is_retry and retry.request is request
+            assert retry.sent_at + retry.timeout_ns <= deadline
+            client_try, tries, at = retry, tries + 1, retry.sent_at
         assert tries == 1 + scenario.clients.retries
         assert model.request_outcome(at, client_try, TryOutcome.REFUSED) is RequestOutcome.REFUSED
 
@@ -172,11 +172,11 @@
 def test_outcome_of_a_served_request_depends_on_its_latency(scenario: Scenario) -> None:
     client_try = make_model(scenario).draw_first_try(0, 0)
     request_class, model = scenario.classes[client_try.request.class_index], make_model(scenario)
-    ends = [
+    outcomes = [
         model.request_outcome(int(ms * NS_PER_MS), client_try, TryOutcome.SERVED)
         for ms in (request_class.aim_ms, request_class.deadline_ms, request_class.deadline_ms + 1)
     ]
-    assert ends == [RequestOutcome.IN_TIME, RequestOutcome.LATE, RequestOutcome.NO_ANSWER]
+    assert outcomes == [RequestOutcome.IN_TIME, RequestOutcome.LATE, RequestOutcome.NO_ANSWER]
 
 
 def test_server_number_of_inverts_loopback_address() -> None:
--- a/tests/emulator/test_fleet_run.py
+++ b/tests/emulator/test_fleet_run.py
@@ -37,7 +37,7 @@
     """A run that has ended."""
 
     folder: Path
-    code: int
+    exit_code: int
     output: str
     errors: str
     children: list[psutil.Process]  # running before `disturb` was called
@@ -99,7 +99,7 @@
 
 
 def test_complete_run_writes_all_files_and_leaves_no_process(complete_run: Run) -> None:
-    assert complete_run.code == 0, complete_run.errors
+    assert complete_run.exit_code == 0, complete_run.errors
     assert_nothing_left(complete_run)
     assert_files_complete(complete_run)
     summary = complete_run.summary()
@@ -136,7 +136,7 @@
 def test_interrupted_run_writes_all_files_and_leaves_no_process(tmp_path: Path) -> None:
     scenario = write_scenario(tmp_path, duration_s=60.0)
     run = run_fleet(scenario, tmp_path / "out", lambda command: command.send_signal(signal.SIGINT))
-    assert run.code == 0, run.errors
+    assert run.exit_code == 0, run.errors
     assert_nothing_left(run)
     assert_files_complete(run)
     assert run.summary()["interrupted"] and run.summary()["elapsed_s"] < 30
@@ -150,7 +150,7 @@
 def test_failed_child_is_reported_with_its_last_log_lines(tmp_path: Path) -> None:
     scenario = write_scenario(tmp_path, duration_s=60.0, balancers=1)
     run = run_fleet(scenario, tmp_path / "out", kill_real_balancer)
-    assert run.code == 1
+    assert run.exit_code == 1
     assert "balancer 0 died with exit code -9, its last log lines:\n  " in run.errors
     assert "dykeshift.node.d" in run.errors, "the lines are those of the balancer"
     assert run.summary()["dead"] == ["balancer 0"]
--- a/tests/emulator/test_standins.py
+++ b/tests/emulator/test_standins.py
@@ -64,7 +64,7 @@
         self.group = PhotoServerGroup(quiet_scenario(), build_layout(quiet_scenario(), 1), timeline, 1, 0, 1)
         self.server = self.group.servers[SERVER]
         assert self.server.place.cores == 1 and self.server.place.zone == 0
-        self.results: list[tuple[int, Outcome | None, float]] = []
+        self.results: list[tuple[int, Outcome | None, float]] = []  # number, outcome, time in seconds
         self.sent = 0
 
     def deliver(self, attempt: TrackedAttempt) -> None:
