--- a/emulator/fleet/scenario_events.py
+++ b/emulator/fleet/scenario_events.py
@@ -58,7 +58,10 @@
 
 
 class RackFailure(LastingEvent):
-    """All servers of a rack become unreachable without closing connections, and start cold at its end."""
+    """The switch of a rack fails: its servers become unreachable without closing connections.
+
+    They start cold at the end of the event.
+    """
 
     kind: Literal["rack_failure"]
     zone: str
@@ -66,7 +69,10 @@
 
 
 class ZoneFailure(LastingEvent):
-    """All servers of a zone become unreachable, and start cold at its end; its balancers are killed."""
+    """All servers of a zone become unreachable and its balancers are killed.
+
+    The servers start cold at the end of the event.
+    """
 
     kind: Literal["zone_failure"]
     zone: str
