--- a/emulator/control/hollow.py
+++ b/emulator/control/hollow.py
@@ -50,8 +50,8 @@
     TurnedDown,
 )
 
-SERVER_COUNT = 10
-SERVICE_TIME_S = 0.02
+SERVER_COUNT = 10  # simulated servers of each hollow balancer
+SERVICE_TIME_S = 0.02  # of every attempt
 
 
 def parse_with_tenants(raw: dict[str, Any]) -> Settings:
--- a/emulator/control/http_server.py
+++ b/emulator/control/http_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server for the emulated services, with the balancer's own parser and message limits."""
+"""A small HTTP/1.1 server for machines, agents and photo servers, on the balancer's MessageAssembler."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from dykeshift.node.http1 import MessageAssembler, UnacceptableMessage
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
-ACCEPT_BACKLOG = 1024
+ACCEPT_BACKLOG = 1024  # connections that may wait to be accepted
 _REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
--- a/emulator/control/process.py
+++ b/emulator/control/process.py
@@ -13,7 +13,7 @@
 from emulator.control.child import MAX_LINE_BYTES
 from emulator.control.contract import Command, Ready, Report
 
-START_TIMEOUT_S = 30.0
+START_TIMEOUT_S = 30.0  # until the process has to be ready
 EXIT_TIMEOUT_S = 10.0  # from the closing of its stdin until it is killed
 
 _report_decoder: msgspec.json.Decoder[Report] = msgspec.json.Decoder(Report)
--- a/emulator/control/supervisor.py
+++ b/emulator/control/supervisor.py
@@ -161,6 +161,7 @@
             self.agent_totals.put_nowait(report)
 
     def _idle_cpu_seconds(self) -> float:
+        """Return the processor time of the hollow balancers that get no requests."""
         return self.hollow_children[0].cpu_seconds()
 
     async def _wait_for_starts(self, count: int) -> None:
--- a/emulator/soak/clients.py
+++ b/emulator/soak/clients.py
@@ -21,7 +21,7 @@
 # response by then is lost.
 RESPONSE_WAIT_MARGIN_S = 2.0
 SPLIT_WRITE_PAUSE_S = 0.004  # between the two parts of a request
-MAX_START_DELAY_S = 1.0  # starting all clients at once would delay the recording process
+MAX_START_DELAY_S = 1.0  # starting all clients at once would delay the process that records them
 RETRY_ID_SUFFIX = "-again"  # appended to the id of a request that is sent again
 
 
--- a/emulator/soak/plan.py
+++ b/emulator/soak/plan.py
@@ -25,7 +25,7 @@
 
 NS_PER_S = 1_000_000_000
 HOUR_S = 3600
-MAX_CLIENTS = 120  # more would delay the recording process itself
+MAX_CLIENTS = 120  # more would delay the process that runs and records them
 LARGE_FLEET_SHARE = 0.04  # share of the seeds whose runs have 15 to 30 balancers
 EXTRA_SIGKILL_DELAY_S = 0.7  # from SIGTERM to the earliest SIGKILL, in addition to the longest client timeout
 MAX_COUNTED_CLIENT_TIMEOUT_S = 3.0  # a longer client timeout does not delay SIGKILL further
@@ -34,6 +34,7 @@
 STALLS_PER_BALANCER = 6  # besides one during SIGTERM and one just before SIGKILL
 CLOCK_STALL_MS = 90  # length of a stall that the shim injects after a reading of the clock
 CLOCK_STALL_SHARE = 0.0004  # share of the readings of the clock with a stall
+# One is drawn for each faulty call; a third of it is the share of the call's uses that fail.
 CALL_FAULT_SHARES = (0.01, 0.1, 0.3)
 FAULTY_CALLS = (
     SystemCall.ACCEPT,
--- a/emulator/soak/records.py
+++ b/emulator/soak/records.py
@@ -1,6 +1,7 @@
 """Records of clients, servers, discovery and balancer processes during a soak run.
 
-All times are seconds of one monotonic clock.
+Clients, servers, discovery and the proxies between them and the balancers run in one process, the recording
+process. All times are seconds of one monotonic clock.
 """
 
 from __future__ import annotations
@@ -98,7 +99,7 @@
 
 @dataclass(slots=True)
 class Lag:
-    """A delay of the recording process itself, in which clients, servers and discovery run."""
+    """A delay of the recording process itself, which delays whatever it sends, receives and records."""
 
     measured_at: float
     lag_s: float
--- a/emulator/soak/rules.py
+++ b/emulator/soak/rules.py
@@ -74,9 +74,9 @@
 
 
 class RuleChecker:
-    """Checks the records of one run; delays of the recording process itself are no breach.
+    """Checks the records of one run; delays (lag) of the recording process itself are no breach.
 
-    `proxied`: requests pass through proxies in the recording process, which adds its lag several times.
+    `proxied`: requests pass through proxies in the recording process, so that its lag adds up several times.
     """
 
     def __init__(self, run_records: RunRecords, limits: ProtocolLimits, proxied: bool = False) -> None:
--- a/emulator/soak/run.py
+++ b/emulator/soak/run.py
@@ -26,7 +26,7 @@
 
 READY_TIMEOUT_S = 12.0  # for the first processes; one that is not ready by then breaks the rule NOT_READY
 LAG_SAMPLE_INTERVAL_S = 0.02  # between two measurements of how late the recording process is
-MIN_RECORDED_LAG_S = 0.01
+MIN_RECORDED_LAG_S = 0.01  # shorter delays are not recorded
 LIST_DELAY_S = 1.5  # of changes of the server list after an event DELAY_LISTS
 CRASH_DELAY_S = 2.0  # from the start of a process to its deliberate crash
 
--- a/emulator/soak/servers.py
+++ b/emulator/soak/servers.py
@@ -18,7 +18,7 @@
 HANG_DURATION_S = 30.0  # longer than any client timeout
 SECOND_RESPONSE_DELAY_S = 0.002  # after the first response
 MAX_SECOND_RESPONSE_DELAY_S = 0.004  # a later second response is not sent
-SLOW_FACTOR = 6.0
+SLOW_WORK_MULTIPLE = 6.0  # work time of a slow server, as a multiple of the usual one
 
 
 class ServerMode(enum.Enum):
@@ -154,7 +154,7 @@
         if mode is ServerMode.HANGING:
             work_s = HANG_DURATION_S
         elif mode is ServerMode.SLOW:
-            work_s *= SLOW_FACTOR
+            work_s *= SLOW_WORK_MULTIPLE
         try:
             async with asyncio.timeout(work_s):
                 # A balancer sends nothing more before it has the response: more bytes are another request.
