--- a/dykeshift/rules.py
+++ b/dykeshift/rules.py
@@ -87,7 +87,7 @@
 MIN_TIME_LEFT_LATENCY_MULTIPLE = 2.0  # a request with less time than this to its latency target is not sent
 URGENT_LATENCY_MULTIPLE = 3.0  # with less time left the whole pool is considered and the quickest server used
 MIN_COPY_DELAY_TARGET_SHARE = 0.4  # no delayed copy before this; a second attempt still fits into the rest
-NON_IDLE_COPY_LATENCY_MULTIPLE = 4.0  # after this a delayed copy is sent though no server is idle
+NON_IDLE_COPY_LATENCY_MULTIPLE = 4.0  # after this a delayed copy is sent even if no server is idle
 RETRY_AFTER_TARGET_SHARE = 0.05  # Retry-After of a refused request while all requests are admitted
 # The timeouts of retries and first tries may differ by this share before the difference means anything.
 RETRY_TIMEOUT_TOLERANCE_SHARE = 0.05
@@ -497,6 +497,7 @@
         new_known_ids = self.servers.keys() & new_ids
         for server_id in new_known_ids:
             self.servers[server_id].in_flight_limit = limit
+        # New servers without state begin with the mean limit as well: initial_limit moves towards it.
         unknown_count = max(1, len(self.fleet.entries) - len(self.servers))
         self.initial_limit += min(1.0, (len(new_ids) - len(new_known_ids)) / unknown_count) * (
             limit - self.initial_limit
@@ -506,7 +507,7 @@
     def _schedule_watch_retry(self, now: int) -> None:
         """Watch again after a pause that doubles with each failure, but in time for changes of the list.
 
-        A change has to be known 6 s after discovery had it and could be reached, whatever became of a call.
+        A change has to be known 6 s after discovery had it and could be reached, even if a call was lost.
         """
         if not self.settings.watch_discovery:
             return
@@ -568,6 +569,7 @@
 
         With fewer requests per server, what was learned is outdated and connections cost too much.
         """
+        # Until the second sweep no rate has been measured; twice the requests so far take its place.
         requests = max(self.requests_per_window, 2 * self.request_count if self.sweep_count < 2 else 0)
         size = max(MIN_POOL_SAMPLE_MULTIPLE * SAMPLE_SIZE, int(requests / MIN_WINDOW_REQUESTS_PER_SERVER))
         knows_all = len(self.fleet.entries) <= MAX_KNOWN_SERVERS
@@ -1257,7 +1259,7 @@
         server.failure_count += outcome not in NON_FAILURE_OUTCOMES
 
     def _log_servers(self, now: int) -> None:
-        """Log counts over all servers and list only the worst known ones: the log does not grow with them."""
+        """Log counts over all servers, but lines for the worst known ones only, to keep the log short."""
         known = self.servers.values()
         listed, ready = len(self.fleet.entries), len(self.fleet.ready_ids)
         cold = sum(self._is_cold(now, s) for s in known)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -204,7 +204,7 @@
 
 
 def test_a_cold_server_that_answers_gets_more_than_one_that_does_not() -> None:
-    """Guards against limiting cold servers to the minimum capacity of the settings though they can do more.
+    """Guards against limiting cold servers to the minimum capacity of the settings when they can do more.
 
     In a replayed deploy, servers with far more capacity than that minimum were limited to it throughout.
     """
