--- a/tests/node/stubs.py
+++ b/tests/node/stubs.py
@@ -3,7 +3,9 @@
 from __future__ import annotations
 
 import asyncio
+import gc
 import json
+import signal
 import socket
 from collections.abc import AsyncIterator, Awaitable, Callable, Coroutine
 from contextlib import asynccontextmanager, suppress
@@ -330,3 +332,9 @@
         serving.cancel()
         with suppress(asyncio.CancelledError):
             await serving
+        # `serve` leaves its signal handlers and `gc.freeze` to the end of its process, but this one goes on.
+        # uvloop does not remove the handlers when it is closed, and they refer to the whole balancer. Frozen
+        # objects are not collected: cycles among them stay, and so does everything to which they refer.
+        for signal_number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
+            asyncio.get_running_loop().remove_signal_handler(signal_number)
+        gc.unfreeze()
