--- a/dykeshift/node/__main__.py
+++ b/dykeshift/node/__main__.py
@@ -55,7 +55,7 @@
         driver.discovery_failed,
         not configuration.settings.watch_discovery,
         configuration.drain_grace_s,
-        lambda number: pool.listed_servers.get(number),
+        lambda server_id: pool.listed_servers.get(server_id),
     )
     frontend = Frontend(
         loop,
@@ -78,8 +78,8 @@
     settings_watch = start_settings_watch(configuration, SettingsApplier(driver, discovery, frontend))
     if not configuration.settings.watch_discovery:
         discovery.start()
-        # The balancer has to follow what the agent already held before this process was loaded. The list
-        # known from before the start serves only if the first call to the agent brings nothing.
+        # The balancer counts as informed of all changes that the agent knew of before this process started.
+        # The known list from before the start is used only if the first call to the agent brings no list.
         await discovery.call_finished.wait()
     if settings_watch is not None:
         await settings_watch.wait_until_up_to_date()
--- a/dykeshift/node/address.py
+++ b/dykeshift/node/address.py
@@ -8,7 +8,7 @@
 
 
 def parse_address(text: Any) -> Address:
-    """Raises ValueError if the text is not host:port."""
+    """Return the host and port of the form host:port; raise ValueError for any other text."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isdecimal() or not 0 <= int(port) < 65536:
         raise ValueError(f"{text!r} is not an address of the form host:port")
--- a/dykeshift/node/config.py
+++ b/dykeshift/node/config.py
@@ -11,8 +11,8 @@
 from dykeshift.node.address import Address, parse_address
 from dykeshift.node.json_cursor import JsonCursor
 from dykeshift.node.listing import ServerListing, ServerRow, parse_listing
-from dykeshift.node.transient_errors import is_transient
 from dykeshift.node.tenants import TenantTable
+from dykeshift.node.transient_errors import is_transient
 from dykeshift.settings import MalformedInputError, SettingsError, require, parse_settings
 
 log = logging.getLogger(__name__)
@@ -32,6 +32,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """The configuration of this balancer, parsed and checked."""
+
     raw: dict[str, Any]  # the decoded JSON without tenants and known servers
     listen: Address
     discovery: Address
@@ -61,9 +63,9 @@
     interned_quotas: dict[float, float] = field(default_factory=dict)  # one object for all equal quotas
 
     def add(self, members: list[tuple[str, Any]]) -> dict[str, Any] | None:
-        """Add the tenant with these members; an object that is not a tenant is returned as a dict.
+        """Add the tenant with these members, or return an object that is not a tenant as a dict.
 
-        The JSON decoder calls it for each object.
+        The JSON decoder calls this method for each object that it has read.
         """
         fields = dict(members)
         if "name" not in fields or "quotaPerS" not in fields:
@@ -75,7 +77,7 @@
 
 
 def load(path: str, with_known_list: bool = True) -> Config:
-    """Read the configuration file. Raises ConfigError, for a transient error TransientReadError."""
+    """Read the configuration file. Raises ConfigError, or TransientReadError after a transient error."""
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
--- a/dykeshift/node/connection.py
+++ b/dykeshift/node/connection.py
@@ -107,8 +107,8 @@
     def send(self, data: bytes, handler: ResponseHandler, now: float) -> None:
         """Write a request; `now` is the time in seconds of the monotonic clock, as read by the caller.
 
-        No clock is read here: the process may stall at any reading, after which the conditions that the
-        caller has checked may no longer hold.
+        No clock is read here, because the process may stall while reading it. The conditions that the
+        caller has checked might then no longer hold when the request is written.
         """
         assert self.transport is not None and self.handler is None
         self.handler, self.response, self.is_reusable, self.bytes_fed = handler, None, False, 0
@@ -187,9 +187,8 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._fail()
-        self.transport = self.parser = (
-            None  # breaks the reference cycle, so that no garbage collection is needed
-        )
+        # Breaks the reference cycle with the parser, so that no garbage collection is needed.
+        self.transport = self.parser = None
         self.on_lost(self)
 
     # ---- callbacks of the parser ----
--- a/dykeshift/node/discovery.py
+++ b/dykeshift/node/discovery.py
@@ -38,12 +38,12 @@
 
 # Shares of the drain grace, within which requests to a draining server have to stop.
 # A list is read with pauses for other work for this long. After that it is read without pauses, so that no
-# more requests are sent by the old list.
+# more requests are sent according to the old list.
 YIELDING_READ_SHARE = 0.4
 # Push mode: the agent responds at once to a call that it need not hold, or not at all, and asking it again
 # costs nothing. Both shares together leave time to stop sending.
-PUSH_SILENCE_SHARE = 0.4
-PUSH_RETRY_SHARE = 0.2
+PUSH_SILENCE_SHARE = 0.4  # time without data after which a call has failed
+PUSH_RETRY_SHARE = 0.2  # time between a failed call and the next one
 
 PUSH_RESPONSE_TIMEOUT_S = 2.0  # for the whole response, while its data keeps arriving
 
@@ -83,7 +83,7 @@
         self.find_server = find_server
         self.has_servers = False  # an earlier list has servers, so requests are being sent
         self.generation: int | None = None  # None: the full list is requested next
-        self.last_call_failed = False  # in the push mode the next call is not held then
+        self.last_call_failed = False  # in the push mode, the call after a failed one is not held
         self.call_finished = asyncio.Event()  # set once any call has ended, also a failed one
         self.watch_task: asyncio.Task[None] | None = None
 
@@ -148,9 +148,9 @@
     async def _call_discovery(self, client: HttpClient) -> Response:
         """Call discovery once; the call is held there if there is a generation to continue from.
 
-        In the push mode, after a failure, the agent is called without a hold until it responds. What it
-        learns once it works again counts as delivered to this balancer at once, and a held call may get
-        no response.
+        In the push mode, after a failure, the agent is called without a hold until it responds. The balancer
+        counts as informed at once of what the agent learns when it works again, and a held call may get no
+        response.
         """
         path, hold_ms = "/v1/endpoints", 0
         if self.generation is not None:
@@ -171,10 +171,9 @@
     async def _apply_response(self, response: Response) -> bool:
         """Apply the list in the response; return False if it is unusable.
 
-        A list is unusable if any part of it is invalid, or if the decision module failed over it.
-
-        A change of the address while the list is being read cancels the task, so that the list is not
-        applied after that of the other discovery.
+        A list is unusable if any part of it is invalid, or if the decision module failed over it. If the
+        address changes while the list is being read, the task is cancelled, so that the list is not applied
+        after that of the other discovery.
         """
         if response.status != 200:
             return False
@@ -191,6 +190,7 @@
     def _apply_listing(self, listing: ServerListing[ListedServer]) -> bool:
         generation, is_full = listing.generation, listing.is_full
         if not is_full and self.generation is not None and generation < self.generation:
+            # These are changes to the list of another discovery, not to the list applied here.
             log.warning(
                 "discovery sent generation %d after %d; requesting the full list", generation, self.generation
             )
--- a/dykeshift/node/driver.py
+++ b/dykeshift/node/driver.py
@@ -32,7 +32,8 @@
 
 log = logging.getLogger(__name__)
 
-# Kept of the client's timeout for the way back: the client ignores a response that arrives as it gives up.
+# Part of the client's timeout that is reserved for the response's way to the client, which ignores a response
+# that arrives just as it gives up.
 RETURN_MARGIN_NS = 5_000_000
 # A response that misses the latency target is sent at least this long before the client's timeout. The
 # process may be stalled for 0.15 s just when a response is due, and clients wait for about 0.06 s beyond
@@ -365,7 +366,8 @@
     def _close(self, open_request: OpenRequest) -> None:
         """Mark the request as closed and withdraw its attempts that still wait for a connection.
 
-        The module is not asked: withdrawing an attempt that was never sent is no cancel, and always allowed.
+        The module is not asked, because an attempt that was never sent may be withdrawn even where the
+        settings forbid cancelling.
         """
         open_request.closed = True
         for attempt in open_request.attempts:
--- a/dykeshift/node/listener.py
+++ b/dykeshift/node/listener.py
@@ -57,7 +57,8 @@
     ) -> Listener:
         """Create a listener that is bound but does not listen yet.
 
-        Raises OSError if binding fails with an error that is not transient, or for START_RETRY_TIMEOUT_S.
+        Raises OSError if binding fails with an error that is not transient, or keeps failing for
+        START_RETRY_TIMEOUT_S.
         """
         return cls(loop, await _retry(loop, partial(_bind, address)), create_protocol)
 
@@ -70,7 +71,8 @@
     async def start_accepting(self) -> None:
         """Listen and accept connections.
 
-        Raises OSError if listening fails with an error that is not transient, or for START_RETRY_TIMEOUT_S.
+        Raises OSError if listening fails with an error that is not transient, or keeps failing for
+        START_RETRY_TIMEOUT_S.
         """
         await _retry(self.loop, partial(self.socket.listen, BACKLOG))
         self.loop.add_reader(self.socket, self._accept)
--- a/dykeshift/node/listing.py
+++ b/dykeshift/node/listing.py
@@ -192,7 +192,8 @@
         returns, so that a list takes memory only for its changes.
 
         From `yield_until` (time.monotonic) on, the rest is read without giving other tasks a turn, so that
-        no more requests are sent by the old list. If the call is cancelled, nothing has been applied.
+        no more requests are sent according to the old list. If the call is cancelled, nothing has been
+        applied.
         """
 
         def convert(row: ServerRow) -> ListedServer:
--- a/dykeshift/node/requests.py
+++ b/dykeshift/node/requests.py
@@ -23,6 +23,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
+    """A valid request of a client, and the message that is sent to a server for it."""
+
     id: str
     class_index: int
     is_unsafe: bool  # must not be executed twice
@@ -30,7 +32,7 @@
     latency_target_ns: int  # a response within this time has the full worth
     is_retry: bool
     tenant_index: int
-    cost_hint: int
+    cost_hint: int  # expected work; 0: unknown
     head: bytes  # request line and headers for the server, without the value of the last one, X-Deadline-Ms
     body: bytes
 
--- a/dykeshift/node/server.py
+++ b/dykeshift/node/server.py
@@ -16,8 +16,8 @@
     has_input,
     has_peer_closed,
 )
-from dykeshift.node.stall_detector import StallDetector
 from dykeshift.node.requests import BadRequest, RequestReader
+from dykeshift.node.stall_detector import StallDetector
 
 log = logging.getLogger(__name__)
 
@@ -133,6 +133,8 @@
 
 
 class ClientConnection(MessageAssembler, asyncio.Protocol):
+    """A client's connection, which carries one request at a time."""
+
     __slots__ = (
         "frontend",
         "transport",
--- a/dykeshift/node/service_settings.py
+++ b/dykeshift/node/service_settings.py
@@ -22,7 +22,7 @@
         """Update all parts within one turn of the event loop.
 
         Returns False, with nothing changed, if the decision module failed. Connection attempts in progress
-        keep their time-out, and open requests keep their class.
+        keep their timeout, and open requests keep their class.
         """
         if not self.driver.apply_settings(new.settings):
             return False
--- a/dykeshift/node/stall_detector.py
+++ b/dykeshift/node/stall_detector.py
@@ -7,8 +7,8 @@
 
 log = logging.getLogger(__name__)
 
-# Input that arrives in a stall is dated back by up to this much too far, and stalls shorter than this are not
-# detected. Both errors stay below the 0.06 s or so that clients wait beyond their deadline.
+# The time computed for input that arrives in a stall may be too early by up to this much, and shorter stalls
+# are not detected. Both errors stay below the 0.06 s or so that clients wait beyond their deadline.
 TICK_INTERVAL_S = 0.03
 TICK_TOLERANCE_S = 0.01  # lateness of a tick that does not count as a stall
 MIN_LOGGED_STALL_S = 0.05  # shorter stalls are only counted
--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -185,7 +185,7 @@
 
             def raise_once(now: int, update: ServerListUpdate) -> list[Action]:
                 module.on_list = on_list_before  # type: ignore[method-assign]
-                raise RuntimeError("planted")
+                raise RuntimeError("simulated")
 
             module.on_list = raise_once  # type: ignore[method-assign]
             balancer.discovery.queue_json(listing(2, False, instance("s0", stub.address, "leaving")))
@@ -210,7 +210,7 @@
 
     In the ask mode the first call is a long poll from that generation all the same. A second call by each
     starting balancer filled discovery's queue, and balancers whose calls were refused did not learn that
-    servers had has_started to drain.
+    servers had started to drain.
     """
 
     async def main() -> None:
@@ -239,7 +239,7 @@
 
 
 def test_no_request_is_served_before_the_agent_responds_in_push_mode() -> None:
-    """What the agent has counts as told to the balancer from the start of its process.
+    """The balancer counts as informed of the agent's list from the start of its process.
 
     Loading the program alone took longer than a short drain grace, so that requests still went to
     draining servers.
@@ -422,14 +422,18 @@
             await wait_until(lambda: len(balancer.discovery.paths) == 2)  # the first call got no response
             assert time.monotonic() - began < 10
             assert [update.kind for update in updates] == [ListKind.INTERRUPTED]
-            hold = int(balancer.discovery.paths[0].partition("hold_ms=")[2])
-            assert hold / 1000 + LONG_POLL_GRACE_S <= 4.0  # a change counts as told soon after
+            hold_ms = int(balancer.discovery.paths[0].partition("hold_ms=")[2])
+            # A balancer counts as informed of a change soon after that.
+            assert hold_ms / 1000 + LONG_POLL_GRACE_S <= 4.0
 
     run(main())
 
 
 def test_silent_agent_is_called_at_short_intervals_until_it_responds() -> None:
-    """A change that the agent learns once it works again counts as told at once, so no call may be held."""
+    """The balancer counts as informed at once of a change that the agent learns when it works again.
+
+    It would learn of the change too late if it still waited for the response to a held call.
+    """
 
     async def main() -> None:
         stub = await StubServer(responds_with(http_response(b"old"))).start()
--- a/tests/node/test_failing_calls.py
+++ b/tests/node/test_failing_calls.py
@@ -55,6 +55,7 @@
     failing_call: SystemCall, error: int, tmp_path: Path
 ) -> None:
     """Guards against a process that runs and reads its server list, but never accepts a client.
+
     When the listener's only `socket` call failed, the event loop silently skipped the address, and the
     process went on without a listener: a trace of its calls had neither `bind` nor `listen`. When `bind` or
     `listen` failed, the process ended, although the error was transient.
--- a/tests/node/test_growth.py
+++ b/tests/node/test_growth.py
@@ -66,7 +66,7 @@
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
         raw_settings = settings()
-        # The module forgets servers at each sweep, and the interval of its sweeps follows from this one.
+        # The module forgets servers at each sweep, and the interval of its sweeps follows from this setting.
         raw_settings["obligations"]["fallNs"] = 200_000_000
         async with running_balancer(stub, settings=raw_settings) as balancer:
             # With the normal delay, 4,000 requests would take longer than the test may run.
--- a/tests/node/test_process_stalls.py
+++ b/tests/node/test_process_stalls.py
@@ -1,4 +1,5 @@
 """Stalls, in which the process gets no processor time, around reading its clock, input and deadlines.
+
 Guards against forwarding requests whose clients have left. An attempt was about to be written; the process
 read its clock and stalled for more than 0.1 s, and the client closed its connection meanwhile. The request
 was still written to a server, because the client's socket was checked first and the clock was read twice
@@ -117,6 +118,7 @@
     is_new_connection: bool, class_name: str, tmp_path: Path
 ) -> None:
     """Guards against counting a request's timeout from when it was read, instead of from its arrival.
+
     A request that arrived in a stall of 0.14 s was read after it, and its timeout was taken to end 0.14 s
     too late. The client closed 0.06 s after its timeout without a final response, and another attempt was
     started after that. One balancer answered more than one request in 500 too late in this way. In a replay,
@@ -153,6 +155,7 @@
     stall_before_deadline_s: float, tmp_path: Path
 ) -> None:
     """Guards against leaving too little time for the final response when the process stalls.
+
     The response was sent only 5 ms before the client timeout, and 0.14 s later if the process stalled then.
     In a replay, one such request was due at 25.862 s, during a stall from 25.80 to 25.947 s.
     """
--- a/tests/node/test_program.py
+++ b/tests/node/test_program.py
@@ -170,11 +170,11 @@
             busy.writer.write(http_request(request_id="busy"))
             await wait_until(lambda: len(stub.requests) == 1)
             process.send_signal(signal.SIGTERM)
-            await wait_until_not_ready(probe)  # an idle connection is served further
+            await wait_until_not_ready(probe)  # idle connections are still served
             late_client = await connect(port)  # still accepted and answered
             stub.handler = responds_with(http_response(b"late"))
             assert (await late_client.fetch(http_request("check", request_id="late"))).body == b"late"
-            for n in range(3):  # it finds no other balancer while all of them are restarted
+            for n in range(3):  # the client finds no other balancer if all are restarted
                 response = await idle.fetch(http_request("check", request_id=f"kept{n}"))
                 assert response.body == b"late" and "connection" not in response.headers
             stub.writers[0].write(http_response(b"at last"))
--- a/tests/node/test_server.py
+++ b/tests/node/test_server.py
@@ -377,7 +377,7 @@
 
 
 def record_request_timers(balancer: RunningBalancer) -> list[str]:
-    """The request timers of the decision module, recorded after each has run."""
+    """Return a list to which the tokens of the module's request timers are added as they have run."""
     timers_run: list[str] = []
     module = balancer.frontend.driver.decision_module
     original = module.on_timer
@@ -417,11 +417,11 @@
 
 
 @pytest.mark.parametrize("cancelling", [True, False])
-def test_no_hedged_request_is_sent_after_the_client_disconnects(cancelling: bool) -> None:
+def test_no_delayed_copy_is_sent_after_the_client_disconnects(cancelling: bool) -> None:
     async def main() -> None:
         stubs = [await StubServer(responds_with(http_response())).start() for _ in range(2)]
         async with running_balancer(*stubs, settings=settings_with_bounds(cancelling=cancelling)) as balancer:
-            for n in range(20):  # until both have responded, so that a hedged request may go to either
+            for n in range(20):  # until both have responded, so that a delayed copy may go to either
                 assert status(await balancer.fetch(http_request(request_id=f"w{n}"))) == 200
             for stub in stubs:
                 stub.requests.clear()
@@ -788,7 +788,7 @@
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
         async with running_balancer(stub) as balancer:
-            balancer.frontend.closes_after_response = True  # the answer is the last on its connection
+            balancer.frontend.closes_after_response = True  # the response is the last on its connection
             with socket.create_connection(balancer.address) as peer:
                 original = balancer.frontend.request_reader.read
 
--- a/tests/node/test_settings_watch.py
+++ b/tests/node/test_settings_watch.py
@@ -189,7 +189,7 @@
 
 
 def test_an_unsafe_request_that_may_still_run_is_not_accepted_again_when_its_class_became_safe() -> None:
-    """An open request keeps the class it began with, so that its repeat cannot make it run twice."""
+    """An open request keeps the class it began with, so that a repeat does not make it run twice."""
 
     async def main() -> None:
         stub, agent = await StubServer(never_responds).start(), await start_agent({"version": 0})
@@ -202,7 +202,7 @@
             await wait_until(lambda: len(stub.requests) == 1)
             leaving_client.writer.close()
             await wait_until(
-                lambda: all(job.closed for job in balancer.frontend.driver.open_requests.values())
+                lambda: all(request.closed for request in balancer.frontend.driver.open_requests.values())
             )
             agent.queue_json(document(2, services=[service("send", "pure")], bounds=bounds))
             await wait_until(lambda: class_names(balancer) == ["send"])
--- a/tests/node/test_shutdown_before_sigkill.py
+++ b/tests/node/test_shutdown_before_sigkill.py
@@ -1,4 +1,5 @@
 """Shutdown after SIGTERM of real processes that are stalled, and killed at the earliest allowed moment.
+
 Guards against accepted requests that get no response during planned restarts. Clients go on sending on kept
 connections after SIGTERM. Requests sent more than 0.7 s after it have their deadlines cut to the end of
 service. SIGKILL may come as early as the longest client timeout plus 0.7 s after SIGTERM. The end of service
@@ -134,7 +135,7 @@
     """The time until SIGKILL runs from the signal on, so clients accepted later might get no response."""
 
     async def main() -> None:
-        # Never answers: the start waits for a pushed list before service begins.
+        # It never responds. In the push mode, the process waits for the agent's list before it serves.
         discovery = await StubLongPollServer().start()
         port, path = free_port(), tmp_path / "config.json"
         document = {**configuration(discovery.address), "listen": f"127.0.0.1:{port}"}
--- a/tests/node/test_upstream.py
+++ b/tests/node/test_upstream.py
@@ -12,7 +12,7 @@
 
 from dykeshift.interface import LoadReport, Outcome, ServerEntry, ServerState
 from dykeshift.node.listing import ListedServer
-from dykeshift.node.upstream import Attempt, AttemptResult, Pool, IdleReuseStats
+from dykeshift.node.upstream import Attempt, AttemptResult, IdleReuseStats, Pool
 from tests.node.stubs import (
     Handler,
     StubServer,
