--- a/tests/node/test_disconnects_and_long_lists.py
+++ b/tests/node/test_disconnects_and_long_lists.py
@@ -1,6 +1,8 @@
-"""Clients that disconnect, and discovery with long lists and without free file descriptors, over sockets.
+"""Clients that disconnect before an attempt is sent, and processes with long lists or no free descriptors.
 
-Each test brings about the moment at which a requirement could be missed.
+Each test brings about the moment at which a requirement could be missed: no attempt starts more than 0.1 s
+after its client has disconnected, a balancer follows a change of its server list within 6 s, and balancers
+are ready within 10 s even if many start at once.
 """
 
 from __future__ import annotations
@@ -259,7 +261,10 @@
     run(main())
 
 
-# ---- nor if the event loop is blocked at that time: it runs due timers before it reads from sockets ----
+# ---- no attempt is sent for a client that disconnects while the event loop is blocked ----
+#
+# After a stall, the event loop runs due timers before it reads from its sockets. A timer could start an
+# attempt although the client's close has arrived long before.
 
 MAX_ATTEMPT_DELAY_NS = 100_000_000  # after the client's close an attempt may still be started for this long
 
@@ -296,7 +301,7 @@
 @CLOSED_OR_RESET
 @EACH_CLASS
 def test_no_waiting_request_is_sent_after_a_disconnect_during_a_stall(class_name: str, reset: bool) -> None:
-    """Its next search for a server would find one that accepts it, with an idle connection."""
+    """The request's next search for a server would find one that accepts it, with an idle connection."""
 
     async def main() -> None:
         stub = await StubServer(responds_with(http_response())).start()
