--- a/dykeshift/node/settings_watch.py
+++ b/dykeshift/node/settings_watch.py
@@ -17,7 +17,7 @@
 
 MAX_DOCUMENT_BYTES = 4 * 1024 * 1024
 LONG_POLL_GRACE_S = 0.5  # after the hold; then a call without a response counts as failed
-MIN_HELD_SHARE = 0.5  # of the hold; a response without news that arrives earlier was not held
+MIN_HELD_SHARE = 0.5  # of the hold; a response without a newer version that arrives earlier was not held
 STARTUP_WAIT_S = 3.0  # longest wait of a new process for the agent's newest version
 
 
--- a/tests/node/test_reuse_delay.py
+++ b/tests/node/test_reuse_delay.py
@@ -21,7 +21,7 @@
 
 
 class ManualLoop:
-    """Replaces a pool's event loop by one whose clock lags, and whose timers fire when the test says so.
+    """Replaces a pool's event loop by one whose clock lags; `fire_timer` fires its timers.
 
     The clock of a busy event loop lags behind the real one, so that its timers may fire early.
     """
