--- a/tests/test_settings_change.py
+++ b/tests/test_settings_change.py
@@ -123,6 +123,27 @@
     )
 
 
+def test_a_waiting_request_gets_no_attempt_beyond_a_lowered_limit() -> None:
+    """A lowered attempt limit holds for requests that wait for a server, as it does for those in flight.
+
+    Both servers have just failed, so both requests wait, and a timer starts their next search. By then the
+    settings allow no more attempts than they have had.
+    """
+    harness = make_harness((SAFE,), servers=2, max_attempts=3)
+    waiting = [harness.submit(0), harness.submit(0)]
+    for request_id in waiting:
+        harness.end_attempt(request_id, 0, Outcome.ERROR)
+        record = harness.requests[request_id]
+        assert len(record.server_ids) == 1 and not record.final_answer, "it should wait for its next attempt"
+    change_settings(harness, max_attempts=1)
+    # The harness checks the limit whenever an attempt is sent.
+    harness.advance(20 * MS)
+    harness.finish_all_requests()
+    for request_id in waiting:
+        assert len(harness.requests[request_id].server_ids) == 1
+        assert harness.requests[request_id].final_answer == "Refuse"
+
+
 def test_worths_change_at_once() -> None:
     low, high = replace(SAFE, name="low", worth=1.0), replace(SAFE, name="high", worth=10.0)
     harness = make_harness((low, high))
