--- a/dykeshift/node/config.py
+++ b/dykeshift/node/config.py
@@ -18,7 +18,7 @@
 log = logging.getLogger(__name__)
 
 CONNECTION_DESCRIPTOR_SHARE = 0.4  # of the descriptors, for client connections, and as many for upstreams
-BASE_MEMORY_MB = 16.0  # measured for the program without open connections, plus some reserve
+BASE_MEMORY_MB = 16.0  # memory of the process without open connections, including a reserve
 MAX_CONNECTION_MEMORY_MB = 0.128  # a connection buffers a whole body, and once more while forwarding it
 
 
